--- a/src/failover/PromotionPace.cpp
+++ b/src/failover/PlannedMoveRateLimiter.cpp
@@ -1,4 +1,4 @@
-#include "failover/PromotionPace.h"
+#include "failover/PlannedMoveRateLimiter.h"
 
 namespace coralhoist::failover {
 namespace {
