--- a/lab/pooled/PooledNode.cpp
+++ b/lab/pooled/PooledNode.cpp
@@ -161,7 +161,7 @@
         _pooler.onTick();
     }
     _confirming.clear();
-    _failovers.noteState({_era.current(), _era.hasReturned(), _placement.mayMovePrimaries()});
+    _failovers.onSharedState({_era.current(), _era.hasReturned(), _placement.mayMovePrimaries()});
     _failovers.onTick(now, true);
     _proofs.noteRecord({_era.current(), 0});
     _proofs.onTick(now);
--- a/src/cluster/ClusterControl.cpp
+++ b/src/cluster/ClusterControl.cpp
@@ -366,7 +366,7 @@
     _registry.onTick(now);
     publishNodes();
     proveAtStart();
-    _failovers.noteState(estateState());
+    _failovers.onSharedState(estateState());
     _failovers.onTick(now, isReady());
     _proofs.noteRecord({_dependencies.storeEra.current(), 0});
     _proofs.onTick(now);
@@ -380,7 +380,7 @@
     }
 }
 
-failover::EstateState ClusterControl::estateState() const {
+failover::SharedFailoverState ClusterControl::estateState() const {
     const failover::PrimaryPlacement* placement = _dependencies.primaryPlacement;
     return {_dependencies.storeEra.current(), _dependencies.storeEra.hasReturned(),
             placement != nullptr && placement->mayMovePrimaries()};
--- a/src/cluster/ClusterControl.h
+++ b/src/cluster/ClusterControl.h
@@ -132,7 +132,7 @@
     std::size_t nodeCount() const { return _publishedNodes.size(); }
 
     /** @return looks at failovers of groups, ever; groups at rest are not looked at. */
-    std::uint64_t failoversVisited() const { return _failovers.visits(); }
+    std::uint64_t failoversVisited() const { return _failovers.evaluations(); }
 
     /** @return groups whose failover is not at rest. */
     std::size_t activeFailovers() const { return _failovers.activeCount(); }
@@ -183,7 +183,7 @@
     void onProof(const pooling::LeadershipProof& proof);
     failover::RoundEvents roundEvents();
     std::unique_ptr<failover::GroupFailover> makeFailover(const GroupName& group);
-    failover::EstateState estateState() const;
+    failover::SharedFailoverState estateState() const;
     void logAnnouncement(const ServerName& server, const GroupName& group,
                          const pooling::ServerAnnouncement* announcement,
                          const StoreVersion& version);
@@ -205,7 +205,7 @@
     std::uint64_t _unreadableEntries = 0;
     StoredPromotions _promotions;
     NodeRegistry _registry;
-    failover::PromotionPace _movePace;
+    failover::PlannedMoveRateLimiter _movePace;
     failover::GroupFailovers _failovers;
     /** Announcements of groups that other nodes execute, since they were last logged. */
     std::uint64_t _announcedElsewhere = 0;
--- a/src/failover/CommitQuorum.cpp
+++ b/src/failover/CommitQuorum.cpp
@@ -109,7 +109,7 @@
     }
     const std::ptrdiff_t mayHaveMore =
         std::count_if(_members.begin(), _members.end(), [candidate](const MemberView& member) {
-            const bool bounded = isReplica(member) && member.isSettled;
+            const bool bounded = isReplica(member) && member.isUpperBound;
             return &member != candidate && (!bounded || member.received > candidate->received);
         });
     return mayHaveMore <= kReplicasOfACommit;
--- a/src/failover/CommitQuorum.h
+++ b/src/failover/CommitQuorum.h
@@ -33,7 +33,7 @@
      * The position was reported after commits could no longer be acknowledged, or by a paused
      * replica. Any other position may have grown since, so it is no upper bound.
      */
-    bool isSettled = false;
+    bool isUpperBound = false;
 };
 
 /** @return whether the server reported that it is a replica. */
--- a/src/failover/FailoverReasons.cpp
+++ b/src/failover/FailoverReasons.cpp
@@ -16,8 +16,8 @@
  * @return whether this node acts on the reason now.
  */
 bool GroupFailover::isOwnTurn(FailoverReason reason, TimePoint now) {
-    if (reason != _found) {
-        _found = reason;
+    if (reason != _foundReason) {
+        _foundReason = reason;
         _foundSince = now;
     }
     switch (reason) {
@@ -39,8 +39,8 @@
     if (isOwn(_record) && reason == FailoverReason::Abandoned) {
         return true;
     }
-    const std::size_t turn = std::min(_dependencies.turn(_group), kLastTurn);
-    return now - _foundSince >= kTurn * turn;
+    const std::size_t turn = std::min(_dependencies.turn(_group), kMaxTurn);
+    return now - _foundSince >= kTurnDelay * turn;
 }
 
 FailoverReason GroupFailover::findReason(TimePoint now) const {
@@ -52,12 +52,12 @@
         const bool isOwnClaim = isOwn(_record) && _record.isClaimOf(_dependencies.era.current());
         return isOwnClaim || stale ? FailoverReason::Abandoned : FailoverReason::None;
     }
-    if (mustLeaveToHolder(now)) {
+    if (isHolderExclusive(now)) {
         return FailoverReason::None;
     }
     if (!_primary) {
         const bool lasting =
-            _withoutPrimarySince && now - *_withoutPrimarySince > kNoPrimaryPatience;
+            _withoutPrimarySince && now - *_withoutPrimarySince > kNoPrimaryTimeout;
         return lasting ? FailoverReason::NoPrimary : FailoverReason::None;
     }
     const ListedServer* primary = listed(_primary->server);
@@ -68,7 +68,8 @@
     if (hasLostPromotion(now)) {
         return FailoverReason::Lost;
     }
-    const bool suspected = _suspected == _primary->server && now - _suspectedAt < kSuspicionHolds;
+    const bool suspected =
+        _suspected == _primary->server && now - _suspectedAt < kSuspicionValidity;
     if (suspected && _suspicion != FailoverReason::None) {
         return _suspicion;
     }
@@ -81,9 +82,9 @@
  */
 bool GroupFailover::isAtRest(TimePoint now) const {
     const bool isIdle =
-        _phase == Phase::Idle && !_busy && _links.empty() && _found == FailoverReason::None;
+        _phase == Phase::Idle && !_busy && _links.empty() && _foundReason == FailoverReason::None;
     const bool isRecordSettled = _record.phase == PromotionPhase::None && !mustRestore() &&
-                                 !lacksRecord() && !mustLeaveToHolder(now);
+                                 !lacksRecord() && !isHolderExclusive(now);
     const bool mayBeMisplaced =
         _dependencies.placement != nullptr && _dependencies.placement->mayMovePrimaries();
     const bool hasPrimary = _primary.has_value() || _servers.empty();
@@ -100,8 +101,8 @@
  * @return whether another node has promoted so recently that a promotion by this node would make
  * nodes promote alternately.
  */
-bool GroupFailover::mustLeaveToHolder(TimePoint now) const {
-    return _record.term > 0 && !isOwn(_record) && now - _recordSeenAt < kHolderTime;
+bool GroupFailover::isHolderExclusive(TimePoint now) const {
+    return _record.term > 0 && !isOwn(_record) && now - _recordSeenAt < kHolderExclusiveTime;
 }
 
 /** @return whether there is a server that can replace the primary. */
--- a/src/failover/FailoverTiming.h
+++ b/src/failover/FailoverTiming.h
@@ -9,41 +9,41 @@
 namespace coralhoist::failover {
 
 /** Tick interval while a promotion runs, and while none runs. */
-constexpr Duration kBusyStep = std::chrono::milliseconds(15);
-constexpr Duration kIdleStep = std::chrono::milliseconds(60);
+constexpr Duration kActiveTickInterval = std::chrono::milliseconds(15);
+constexpr Duration kIdleTickInterval = std::chrono::milliseconds(60);
 /** Age at which a server's status is requested again while a promotion runs. */
-constexpr Duration kStatusEvery = kBusyStep * 4;
+constexpr Duration kStatusInterval = kActiveTickInterval * 4;
 /**
  * A node that has just started takes its list of servers as complete after this time. Entries that
  * expired while the store was unavailable are back about 2 s after the store's return.
  */
-constexpr Duration kListSettles = std::chrono::milliseconds(4000);
+constexpr Duration kListSettlingTime = std::chrono::milliseconds(4000);
 /** A server that is no longer listed is remembered for this time. */
-constexpr Duration kForgottenAfter = std::chrono::seconds(60);
+constexpr Duration kRemovedServerRetention = std::chrono::seconds(60);
 /** Interval of the log lines that show what a promotion waits for. */
-constexpr Duration kWaitingLogEvery = std::chrono::milliseconds(1000);
+constexpr Duration kWaitingLogInterval = std::chrono::milliseconds(1000);
 /** A suspected primary that does not respond for this time is replaced. */
-constexpr Duration kCheckPatience = std::chrono::milliseconds(350);
+constexpr Duration kCheckTimeout = std::chrono::milliseconds(350);
 /** A primary is promoted when none has been known for this time. */
-constexpr Duration kNoPrimaryPatience = std::chrono::milliseconds(600);
+constexpr Duration kNoPrimaryTimeout = std::chrono::milliseconds(600);
 /** A record that its holder has not changed for this time may be taken over. */
 constexpr Duration kTakeOverAfter = std::chrono::milliseconds(3300);
 /**
  * After a promotion, only its holder may promote again within this time. Otherwise nodes could
  * promote alternately.
  */
-constexpr Duration kHolderTime = std::chrono::milliseconds(3300);
+constexpr Duration kHolderExclusiveTime = std::chrono::milliseconds(3300);
 /**
  * A primary that is about to shut down is not stopped for this time while no successor has caught
  * up with it.
  */
-constexpr Duration kLeavingPatience = std::chrono::milliseconds(1500);
+constexpr Duration kLeavingTimeout = std::chrono::milliseconds(1500);
 /** Longest time from the request that writes the announcement to the promotion call. */
 constexpr Duration kCallMargin = std::chrono::milliseconds(800);
 /** Interval at which the holder renews the record to show that it still drives the promotion. */
-constexpr Duration kRefreshEvery = std::chrono::milliseconds(900);
+constexpr Duration kRefreshInterval = std::chrono::milliseconds(900);
 /** The successor must lead within this time after the promotion call. */
-constexpr Duration kConfirmPatience = std::chrono::milliseconds(2500);
+constexpr Duration kConfirmTimeout = std::chrono::milliseconds(2500);
 /** A server that was not running is not chosen again for this time. */
 constexpr Duration kNotRunningPause = std::chrono::milliseconds(1000);
 /** Pauses after an attempt that ended without a promotion. */
@@ -59,12 +59,12 @@
 constexpr std::uint64_t kClaimJitterMs = 60;
 /**
  * Nodes act one after another on a condition that all of them see at once: each node waits this
- * much longer than the node before it, for at most kLastTurn turns. The delay is twice the time in
+ * much longer than the node before it, for at most kMaxTurn turns. The delay is twice the time in
  * which a claim reaches the other nodes.
  */
-constexpr Duration kTurn = std::chrono::milliseconds(100);
-constexpr std::size_t kLastTurn = 10;
+constexpr Duration kTurnDelay = std::chrono::milliseconds(100);
+constexpr std::size_t kMaxTurn = 10;
 /** Suspicions older than this are ignored. */
-constexpr Duration kSuspicionHolds = std::chrono::milliseconds(250);
+constexpr Duration kSuspicionValidity = std::chrono::milliseconds(250);
 
 }  // namespace coralhoist::failover
--- a/src/failover/GroupFailover.cpp
+++ b/src/failover/GroupFailover.cpp
@@ -57,7 +57,7 @@
  * wake-ups.
  */
 TimePoint nextIdleTick(TimePoint now) {
-    return now - now.time_since_epoch() % kIdleStep + kIdleStep;
+    return now - now.time_since_epoch() % kIdleTickInterval + kIdleTickInterval;
 }
 
 }  // namespace
@@ -72,7 +72,7 @@
 
 /**
  * A list may lack servers that are running, so a server that was listed once is kept as removed for
- * kForgottenAfter.
+ * kRemovedServerRetention.
  */
 void GroupFailover::onDirectory(const pooling::ServerDirectory::Servers& servers) {
     const TimePoint now = _dependencies.clock.now();
@@ -87,7 +87,7 @@
         ListedServer vanished = server;
         vanished.removedAt = server.removed ? server.removedAt : now;
         vanished.removed = true;
-        if (now - vanished.removedAt < kForgottenAfter) {
+        if (now - vanished.removedAt < kRemovedServerRetention) {
             known.emplace(name, vanished);
         }
     }
@@ -193,7 +193,7 @@
 }
 
 void GroupFailover::onTick(TimePoint now) {
-    _nextTick = _phase == Phase::Idle ? nextIdleTick(now) : now + kBusyStep;
+    _nextTick = _phase == Phase::Idle ? nextIdleTick(now) : now + kActiveTickInterval;
     for (const auto& [name, link] : _links) {
         link->onTick(now);
     }
@@ -271,19 +271,19 @@
 /** A suspected primary that responds at all is not replaced, except by a planned move. */
 void GroupFailover::check(TimePoint now) {
     MemberLink& former = link(*_former);
-    const std::optional<TimePoint> heard = former.heardAt();
+    const std::optional<TimePoint> heard = former.lastResponseAt();
     if (heard && *heard >= _phaseSince && (former.report() || !former.isRefused())) {
         const bool answered = former.report() && former.report()->askedAt >= _phaseSince;
         if (answered && isMisplaced(now)) {
             _reason = FailoverReason::Misplaced;
             _suspicion = FailoverReason::None;
             enter(Phase::Awaiting);
-        } else if (answered || now - _phaseSince > kCheckPatience) {
+        } else if (answered || now - _phaseSince > kCheckTimeout) {
             giveUp("the primary answers", kHealthyPause);
         }
         return;
     }
-    if (former.isRefused() || now - _phaseSince > kCheckPatience) {
+    if (former.isRefused() || now - _phaseSince > kCheckTimeout) {
         enter(Phase::Loading);
     }
 }
@@ -302,14 +302,14 @@
 
 /** @return whether lists have arrived for long enough to name every running server. */
 bool GroupFailover::hasSettledList(TimePoint now) const {
-    return _listedSince && now - *_listedSince >= kListSettles;
+    return _listedSince && now - *_listedSince >= kListSettlingTime;
 }
 
 void GroupFailover::secure(TimePoint now) {
     refreshRecord(now);
-    askAll(now);
+    requestStatuses(now);
     if (isPlanned(_reason) && !_stopping && !isSuccessorReady(now)) {
-        if (now - _phaseSince < claimPatience()) {
+        if (now - _phaseSince < claimTimeout()) {
             return;
         }
         // A primary that no longer responds is replaced like one that has failed.
@@ -324,7 +324,7 @@
         return;
     }
     _stopping = true;
-    orderFormers();
+    orderStepDown();
     // Evaluated in each step, because a replica that restarts loses its pause.
     const CommitQuorum quorum = viewMembers(now);
     logWaiting(quorum, now);
--- a/src/failover/GroupFailover.h
+++ b/src/failover/GroupFailover.h
@@ -68,7 +68,7 @@
     /** Restricts where primaries may run; null if they may run anywhere. */
     const PrimaryPlacement* placement = nullptr;
     /** Shared by the groups of this node; null if the rate of planned moves is unlimited. */
-    PromotionPace* pace = nullptr;
+    PlannedMoveRateLimiter* moveRateLimiter = nullptr;
 };
 
 /**
@@ -181,7 +181,7 @@
     bool hasLostPromotion(TimePoint now) const;
     bool isClaimable(TimePoint now) const;
     void restore(TimePoint now);
-    void writeAgain(PromotionRecord record, const char* event);
+    void rewriteRecord(PromotionRecord record, const char* event);
     FailoverReason findReason(TimePoint now) const;
     bool isOwnTurn(FailoverReason reason, TimePoint now);
     bool hasStayingServer() const;
@@ -191,7 +191,7 @@
     bool isMisplaced(TimePoint now) const;
     Duration moveDelay() const;
     void awaitSuccessor(TimePoint now);
-    Duration claimPatience() const;
+    Duration claimTimeout() const;
     void withdraw();
     void onWithdrawn(const SavedRecord& saved, TimePoint askedAt);
     void noteMoved(TimePoint now);
@@ -205,7 +205,7 @@
     void enterSecuring(TimePoint now);
     void secure(TimePoint now);
     void refreshRecord(TimePoint now);
-    void orderFormers();
+    void orderStepDown();
     void pauseReceivers(const CommitQuorum& quorum, TimePoint now);
     bool isGone(const pooling::ListedServer& server, const MemberLink& member, TimePoint now) const;
     bool isAddressTaken(const pooling::ListedServer& server) const;
@@ -223,11 +223,11 @@
     bool holdsEarlierTerms(const OpTime& position) const;
     bool lacksLostTerms(const CommitQuorum& quorum, const ServerName& server) const;
     bool isSuccessorReady(TimePoint now) const;
-    bool isWorthTheMove(const ServerName& server) const;
+    bool justifiesStepDown(const ServerName& server) const;
     bool awaitsBetterServer(const CommitQuorum& quorum, LeadSuitability suitability) const;
     bool isOwn(const PromotionRecord& record) const;
     bool isDriving() const;
-    bool mustLeaveToHolder(TimePoint now) const;
+    bool isHolderExclusive(TimePoint now) const;
     Term newestShownTerm() const;
     Term nextTerm() const;
     Term termToAnnounce() const;
@@ -235,7 +235,7 @@
     void logWaiting(const CommitQuorum& quorum, TimePoint now);
     bool hasSettledList(TimePoint now) const;
     bool resumeReceivers(TimePoint now);
-    void askAll(TimePoint now);
+    void requestStatuses(TimePoint now);
     PromotionRecord recordOfSuccessor(pooling::PromotionPhase phase) const;
     void announce(TimePoint now);
     void call(TimePoint now);
@@ -256,7 +256,7 @@
     FailoverDependencies _dependencies;
     /** Lets callbacks of the store detect that this object was destroyed. */
     std::shared_ptr<bool> _alive;
-    /** All servers ever listed, except those removed more than kForgottenAfter ago. */
+    /** All servers ever listed, except those removed more than kRemovedServerRetention ago. */
     pooling::ServerDirectory::Servers _servers;
     /** When the first list that names servers arrived. */
     std::optional<TimePoint> _listedSince;
@@ -270,7 +270,7 @@
     PromotionRecord _newest;
     /** When the store's record was first seen to lack the newest state or not to be confirmed. */
     std::optional<TimePoint> _incompleteSince;
-    TimePoint _nextWriteAgain{};
+    TimePoint _nextRewriteAt{};
     /** Era in which the present attempt began; the attempt ends when the era ends. */
     std::uint64_t _attemptEra = 0;
 
@@ -283,7 +283,7 @@
     Phase _phase = Phase::Idle;
     FailoverReason _reason = FailoverReason::None;
     /** The reason that was found last, and since when it has applied. */
-    FailoverReason _found = FailoverReason::None;
+    FailoverReason _foundReason = FailoverReason::None;
     TimePoint _foundSince{};
     TimePoint _phaseSince{};
     TimePoint _nextTick{};
--- a/src/failover/GroupFailovers.cpp
+++ b/src/failover/GroupFailovers.cpp
@@ -39,7 +39,7 @@
     return found == _failovers.end() ? nullptr : found->second.get();
 }
 
-void GroupFailovers::noteState(const EstateState& state) {
+void GroupFailovers::onSharedState(const SharedFailoverState& state) {
     if (state == _state) {
         return;
     }
@@ -52,21 +52,21 @@
 void GroupFailovers::onTick(TimePoint now, bool mayAct) {
     for (auto entry = _active.begin(); entry != _active.end();) {
         const auto& [group, failover] = *entry;
-        look(group, *failover, now, mayAct);
+        evaluate(group, *failover, now, mayAct);
         entry = failover->isAtRest(now) ? _active.erase(entry) : std::next(entry);
     }
 }
 
-void GroupFailovers::look(const GroupName& group, GroupFailover& failover, TimePoint now,
-                          bool mayAct) {
-    ++_visits;
+void GroupFailovers::evaluate(const GroupName& group, GroupFailover& failover, TimePoint now,
+                              bool mayAct) {
+    ++_evaluations;
     failover.onPrimary(_events.primaryOf(group));
     if (failover.nextTick() <= now && mayAct) {
         failover.onTick(now);
     }
-    StoreVersion& told = _toldVersions[group];
-    if (failover.record().version > told) {
-        told = failover.record().version;
+    StoreVersion& notified = _notifiedVersions[group];
+    if (failover.record().version > notified) {
+        notified = failover.record().version;
         _events.onNewRecord(group, failover);
     }
     if (mayAct && failover.wantsConfirmation(now)) {
--- a/src/failover/GroupFailovers.h
+++ b/src/failover/GroupFailovers.h
@@ -16,13 +16,13 @@
 namespace coralhoist::failover {
 
 /** State that concerns the failovers of all groups at once. */
-struct EstateState {
+struct SharedFailoverState {
     /** Era of the store, and whether the store was ever restored from an older copy. */
     std::uint64_t era = 0;
     bool hasReturned = false;
     bool mayMovePrimaries = false;
 
-    bool operator==(const EstateState&) const = default;
+    bool operator==(const SharedFailoverState&) const = default;
 };
 
 /** Callbacks of the evaluation rounds. */
@@ -62,7 +62,7 @@
     const GroupFailover* find(const GroupName& group) const;
 
     /** Takes the common state; all failovers are evaluated in the next round if it changed. */
-    void noteState(const EstateState& state);
+    void onSharedState(const SharedFailoverState& state);
 
     /** @param mayAct false while the node does not know enough to replace a primary. */
     void onTick(TimePoint now, bool mayAct);
@@ -77,7 +77,7 @@
     /** @return the number of failovers that each round evaluates. */
     std::size_t activeCount() const { return _active.size(); }
     /** @return the total number of evaluations of failovers. */
-    std::uint64_t visits() const { return _visits; }
+    std::uint64_t evaluations() const { return _evaluations; }
     /** @return the number of promotions carried out by this node. */
     std::uint64_t promotions() const;
     /**
@@ -88,16 +88,16 @@
 
 private:
     GroupFailover& get(const GroupName& group);
-    void look(const GroupName& group, GroupFailover& failover, TimePoint now, bool mayAct);
+    void evaluate(const GroupName& group, GroupFailover& failover, TimePoint now, bool mayAct);
 
     Factory _factory;
     RoundEvents _events;
     std::map<GroupName, std::unique_ptr<GroupFailover>> _failovers;
     std::map<GroupName, GroupFailover*> _active;
     /** Version of each group's record at the last evaluation. */
-    std::map<GroupName, StoreVersion> _toldVersions;
-    EstateState _state;
-    std::uint64_t _visits = 0;
+    std::map<GroupName, StoreVersion> _notifiedVersions;
+    SharedFailoverState _state;
+    std::uint64_t _evaluations = 0;
 };
 
 }  // namespace coralhoist::failover
--- a/src/failover/LeadershipProbe.cpp
+++ b/src/failover/LeadershipProbe.cpp
@@ -9,7 +9,7 @@
 using pooling::ServerCommand;
 
 /** Shortest interval between two queries. */
-constexpr Duration kAskEvery = std::chrono::milliseconds(120);
+constexpr Duration kQueryInterval = std::chrono::milliseconds(120);
 /** Connections are closed when no query was made for this time. */
 constexpr Duration kIdleAfter = std::chrono::seconds(2);
 constexpr Duration kStep = std::chrono::milliseconds(20);
@@ -23,7 +23,7 @@
 LeadershipProbe::~LeadershipProbe() = default;
 
 void LeadershipProbe::ask(const pooling::ServerDirectory::Servers& servers, TimePoint now) {
-    if (now - _askedAt < kAskEvery) {
+    if (now - _askedAt < kQueryInterval) {
         return;
     }
     _askedAt = now;
@@ -63,18 +63,18 @@
 }
 
 /** @return the response in which the primary reports that it leads; null if there is none. */
-const MemberAnswer* LeadershipProbe::leadershipClaim(const pooling::Primary& primary) const {
+const MemberResponse* LeadershipProbe::leaderResponse(const pooling::Primary& primary) const {
     const auto leader = _links.find(primary.server);
     if (leader == _links.end() || !leader->second->report()) {
         return nullptr;
     }
-    const MemberAnswer& claim = *leader->second->report();
+    const MemberResponse& claim = *leader->second->report();
     const bool leads = claim.report.primary && claim.report.term >= primary.term;
     return leads ? &claim : nullptr;
 }
 
 std::optional<TimePoint> LeadershipProbe::provenAt(const pooling::Primary& primary) const {
-    const MemberAnswer* claim = leadershipClaim(primary);
+    const MemberResponse* claim = leaderResponse(primary);
     if (claim == nullptr) {
         return std::nullopt;
     }
@@ -83,7 +83,7 @@
         if (name == primary.server || !link->report()) {
             continue;
         }
-        const MemberAnswer& follower = *link->report();
+        const MemberResponse& follower = *link->report();
         const bool follows = !follower.report.primary &&
                              follower.report.term == claim->report.term &&
                              follower.report.heldTerm <= claim->report.term;
@@ -96,13 +96,13 @@
 }
 
 std::optional<TimePoint> LeadershipProbe::pausedAt(const pooling::Primary& primary) const {
-    const MemberAnswer* claim = leadershipClaim(primary);
+    const MemberResponse* claim = leaderResponse(primary);
     if (claim == nullptr) {
         return std::nullopt;
     }
     std::optional<TimePoint> paused;
     for (const auto& [name, link] : _links) {
-        const std::optional<MemberAnswer>& answer = link->report();
+        const std::optional<MemberResponse>& answer = link->report();
         const bool isPaused =
             answer && !answer->report.primary && answer->report.heldTerm > claim->report.term;
         if (name != primary.server && isPaused) {
--- a/src/failover/LeadershipProbe.h
+++ b/src/failover/LeadershipProbe.h
@@ -51,7 +51,7 @@
     std::optional<TimePoint> pausedAt(const pooling::Primary& primary) const;
 
 private:
-    const MemberAnswer* leadershipClaim(const pooling::Primary& primary) const;
+    const MemberResponse* leaderResponse(const pooling::Primary& primary) const;
 
     const Clock& _clock;
     pooling::ServerConnector& _connector;
--- a/src/failover/MemberLink.cpp
+++ b/src/failover/MemberLink.cpp
@@ -13,13 +13,13 @@
  * up to 1,141 ms; with a shorter timeout their responses are never received, and a promotion waits
  * forever.
  */
-constexpr Duration kOpenPatience = std::chrono::milliseconds(1000);
-constexpr Duration kAnswerPatience = std::chrono::milliseconds(1500);
+constexpr Duration kOpenTimeout = std::chrono::milliseconds(1000);
+constexpr Duration kResponseTimeout = std::chrono::milliseconds(1500);
 /**
  * The timeout doubles with each missing response up to this limit, because a slow server is not a
  * failed one.
  */
-constexpr Duration kLongestAnswerPatience = std::chrono::milliseconds(6000);
+constexpr Duration kMaxResponseTimeout = std::chrono::milliseconds(6000);
 constexpr Duration kReconnectPause = std::chrono::milliseconds(100);
 
 }  // namespace
@@ -31,7 +31,7 @@
       _connector(connector),
       _parser(parser),
       _createdAt(clock.now()),
-      _answerPatience(kAnswerPatience) {}
+      _responseTimeout(kResponseTimeout) {}
 
 MemberLink::~MemberLink() {
     if (_connection) {
@@ -40,27 +40,27 @@
 }
 
 void MemberLink::request(ServerCommand::Kind kind, Term term) {
-    const auto same = [kind](const Awaited& awaited) { return awaited.kind == kind; };
-    if (std::any_of(_waiting.begin(), _waiting.end(), same) ||
+    const auto same = [kind](const PendingCommand& pending) { return pending.kind == kind; };
+    if (std::any_of(_unsent.begin(), _unsent.end(), same) ||
         std::any_of(_sent.begin(), _sent.end(), same)) {
         return;
     }
-    const Awaited awaited{kind, term, _clock.now()};
+    const PendingCommand pending{kind, term, _clock.now()};
     if (_opened) {
-        transmit(awaited);
+        transmit(pending);
         return;
     }
-    _waiting.push_back(awaited);
+    _unsent.push_back(pending);
     if (!_connection) {
         open(_clock.now());
     }
 }
 
-void MemberLink::transmit(const Awaited& awaited) {
+void MemberLink::transmit(const PendingCommand& pending) {
     ServerCommand command;
-    command.kind = awaited.kind;
-    command.term = awaited.term;
-    _sent.push_back({awaited.kind, awaited.term, _clock.now()});
+    command.kind = pending.kind;
+    command.term = pending.term;
+    _sent.push_back({pending.kind, pending.term, _clock.now()});
     _connector.send(*_connection, {command});
 }
 
@@ -80,40 +80,40 @@
     _connection.reset();
     _opened = false;
     // Orders are idempotent, so unanswered commands are sent again on the next connection.
-    for (const Awaited& awaited : _sent) {
-        _waiting.push_back(awaited);
+    for (const PendingCommand& pending : _sent) {
+        _unsent.push_back(pending);
     }
     _sent.clear();
     _nextAttempt = _clock.now() + kReconnectPause;
 }
 
 void MemberLink::onTick(TimePoint now) {
-    const bool lateOpening = _connection && !_opened && now - _attemptedAt > kOpenPatience;
-    const bool lateAnswer = !_sent.empty() && now - _sent.front().askedAt > _answerPatience;
+    const bool lateOpening = _connection && !_opened && now - _attemptedAt > kOpenTimeout;
+    const bool lateAnswer = !_sent.empty() && now - _sent.front().askedAt > _responseTimeout;
     if (lateAnswer) {
-        _answerPatience = std::min(_answerPatience * 2, kLongestAnswerPatience);
+        _responseTimeout = std::min(_responseTimeout * 2, kMaxResponseTimeout);
     }
     if (lateOpening || lateAnswer) {
         drop();
     }
-    if (!_connection && !_waiting.empty()) {
+    if (!_connection && !_unsent.empty()) {
         open(now);
     }
 }
 
 bool MemberLink::isSilentFor(Duration time, TimePoint now) const {
-    return now - _heardAt.value_or(_createdAt) >= time;
+    return now - _lastResponseAt.value_or(_createdAt) >= time;
 }
 
 void MemberLink::onOpened(ConnectionId /*connection*/, OpTime /*position*/) {
     _opened = true;
     _refused = false;
     _replaced = false;
-    _heardAt = _clock.now();
-    std::deque<Awaited> waiting;
-    waiting.swap(_waiting);
-    for (const Awaited& awaited : waiting) {
-        transmit(awaited);
+    _lastResponseAt = _clock.now();
+    std::deque<PendingCommand> unsent;
+    unsent.swap(_unsent);
+    for (const PendingCommand& pending : unsent) {
+        transmit(pending);
     }
 }
 
@@ -121,7 +121,7 @@
                               const std::optional<pooling::StatementError>& refusal) {
     _connection.reset();
     if (refusal) {
-        _heardAt = _clock.now();
+        _lastResponseAt = _clock.now();
     }
     _refused = !refusal;
     _replaced = refusal && refusal->fault == pooling::StatementFault::WrongServer;
@@ -129,25 +129,25 @@
 }
 
 void MemberLink::onResult(ConnectionId /*connection*/, pooling::StatementResult result) {
-    _heardAt = _clock.now();
+    _lastResponseAt = _clock.now();
     if (_sent.empty()) {
         drop();
         return;
     }
-    const Awaited awaited = _sent.front();
+    const PendingCommand pending = _sent.front();
     _sent.pop_front();
     if (!result.succeeded() || result.rows.empty()) {
         return;
     }
     if (const std::optional<ServerReport> report = _parser(result.rows.front())) {
-        note(awaited, *report);
+        note(pending, *report);
     }
 }
 
-void MemberLink::note(const Awaited& awaited, const ServerReport& report) {
-    const MemberAnswer answer{report, awaited.askedAt, _clock.now()};
+void MemberLink::note(const PendingCommand& pending, const ServerReport& report) {
+    const MemberResponse answer{report, pending.askedAt, _clock.now()};
     _report = answer;
-    if (awaited.kind == ServerCommand::Kind::Pause) {
+    if (pending.kind == ServerCommand::Kind::Pause) {
         _paused = answer;
     }
 }
--- a/src/failover/MemberLink.h
+++ b/src/failover/MemberLink.h
@@ -11,12 +11,12 @@
 namespace coralhoist::failover {
 
 /** A server's last response to a command. */
-struct MemberAnswer {
+struct MemberResponse {
     ServerReport report;
     /** When the command was sent. */
     TimePoint askedAt{};
     /** When the response arrived. */
-    TimePoint answeredAt{};
+    TimePoint respondedAt{};
 };
 
 /**
@@ -39,12 +39,12 @@
     void onTick(TimePoint now);
 
     /** @return the newest report in response to any command. */
-    const std::optional<MemberAnswer>& report() const { return _report; }
+    const std::optional<MemberResponse>& report() const { return _report; }
     /** @return the response to the order that makes a replica stop receiving. */
-    const std::optional<MemberAnswer>& paused() const { return _paused; }
+    const std::optional<MemberResponse>& paused() const { return _paused; }
 
     /** @return when the server last responded in any way, including a refusal. */
-    std::optional<TimePoint> heardAt() const { return _heardAt; }
+    std::optional<TimePoint> lastResponseAt() const { return _lastResponseAt; }
 
     /**
      * @return whether the server has not responded for this time, counted from the creation of the
@@ -67,7 +67,7 @@
     void onResult(ConnectionId connection, pooling::StatementResult result) override;
     void onLost(ConnectionId connection) override;
 
-    struct Awaited {
+    struct PendingCommand {
         pooling::ServerCommand::Kind kind = pooling::ServerCommand::Kind::Status;
         Term term = 0;
         TimePoint askedAt{};
@@ -75,8 +75,8 @@
 
     void drop();
     void open(TimePoint now);
-    void transmit(const Awaited& awaited);
-    void note(const Awaited& awaited, const ServerReport& report);
+    void transmit(const PendingCommand& pending);
+    void note(const PendingCommand& pending, const ServerReport& report);
 
     pooling::ServerAddress _address;
     const Clock& _clock;
@@ -87,14 +87,14 @@
     bool _refused = false;
     bool _replaced = false;
     TimePoint _createdAt{};
-    Duration _answerPatience;
+    Duration _responseTimeout;
     TimePoint _attemptedAt{};
     TimePoint _nextAttempt{};
-    std::optional<TimePoint> _heardAt;
-    std::deque<Awaited> _waiting;
-    std::deque<Awaited> _sent;
-    std::optional<MemberAnswer> _report;
-    std::optional<MemberAnswer> _paused;
+    std::optional<TimePoint> _lastResponseAt;
+    std::deque<PendingCommand> _unsent;
+    std::deque<PendingCommand> _sent;
+    std::optional<MemberResponse> _report;
+    std::optional<MemberResponse> _paused;
 };
 
 }  // namespace coralhoist::failover
--- a/src/failover/MemberSurvey.cpp
+++ b/src/failover/MemberSurvey.cpp
@@ -20,9 +20,9 @@
  * Members that do not respond cause the others to be paused after this time; nothing else is
  * concluded from a missing response.
  */
-constexpr Duration kSilencePatience = milliseconds(350);
+constexpr Duration kSilenceTimeout = milliseconds(350);
 /** A server's report is valid for this time plus twice the time that the response took. */
-constexpr Duration kReportHolds = milliseconds(400);
+constexpr Duration kReportValidity = milliseconds(400);
 /**
  * A server counts as gone when its announcement has been removed for kGoneAfter and it refuses
  * connections or has not responded for kGoneSilence. Until then it may come back with its log, lead
@@ -36,19 +36,20 @@
 }  // namespace
 
 /**
- * Requests the status of every server whose last report was requested kStatusEvery ago or earlier.
+ * Requests the status of every server whose last report was requested kStatusInterval ago or
+ * earlier.
  */
-void GroupFailover::askAll(TimePoint now) {
+void GroupFailover::requestStatuses(TimePoint now) {
     for (const auto& [name, server] : _servers) {
         MemberLink& member = link(name);
-        if (!member.report() || now - member.report()->askedAt >= kStatusEvery) {
+        if (!member.report() || now - member.report()->askedAt >= kStatusInterval) {
             member.request(ServerCommand::Kind::Status);
         }
     }
 }
 
 void GroupFailover::logWaiting(const CommitQuorum& quorum, TimePoint now) {
-    if (now - std::max(_waitingLoggedAt, _phaseSince) < kWaitingLogEvery) {
+    if (now - std::max(_waitingLoggedAt, _phaseSince) < kWaitingLogInterval) {
         return;
     }
     _waitingLoggedAt = now;
@@ -59,7 +60,7 @@
 }
 
 /** Orders every leader to step down, and also a suspected primary that has not reported yet. */
-void GroupFailover::orderFormers() {
+void GroupFailover::orderStepDown() {
     const Term term = nextTerm();
     for (const auto& [name, member] : _links) {
         const bool suspected = _former && name == *_former && !member->report();
@@ -85,9 +86,9 @@
         std::any_of(_links.begin(), _links.end(), [this, &quorum, now](const auto& entry) {
             const MemberView* member = quorum.find(entry.first);
             const TimePoint heard =
-                std::max(_phaseSince, entry.second->heardAt().value_or(_phaseSince));
+                std::max(_phaseSince, entry.second->lastResponseAt().value_or(_phaseSince));
             return member != nullptr && member->role == MemberRole::Unknown &&
-                   (entry.second->isRefused() || now - heard > kSilencePatience);
+                   (entry.second->isRefused() || now - heard > kSilenceTimeout);
         });
     if (!silent) {
         return;
@@ -161,7 +162,7 @@
                                        : MemberRole::Following;
             view.term = report.term;
             view.received = report.received;
-            view.isSettled = paused || (_securedAt && member->report()->askedAt >= *_securedAt);
+            view.isUpperBound = paused || (_securedAt && member->report()->askedAt >= *_securedAt);
         }
         members.push_back(view);
     }
@@ -179,8 +180,8 @@
     if (!member.report()) {
         return false;
     }
-    const MemberAnswer& answer = *member.report();
-    return now - answer.askedAt < kReportHolds + 2 * (answer.answeredAt - answer.askedAt);
+    const MemberResponse& answer = *member.report();
+    return now - answer.askedAt < kReportValidity + 2 * (answer.respondedAt - answer.askedAt);
 }
 
 /** @return whether the member's report is still valid and was requested in the present phase. */
@@ -212,8 +213,8 @@
         text << (report.primary ? "primary" : "replica") << ',' << report.term << ','
              << report.received.term << '.' << report.received.position
              << ",held=" << report.heldTerm
-             << ",age_ms=" << inMilliseconds(now - link->report()->answeredAt)
-             << ",took_ms=" << inMilliseconds(link->report()->answeredAt - link->report()->askedAt);
+             << ",age_ms=" << inMilliseconds(now - link->report()->respondedAt) << ",took_ms="
+             << inMilliseconds(link->report()->respondedAt - link->report()->askedAt);
     }
     return text.str();
 }
--- a/src/failover/PlannedMoveRateLimiter.cpp
+++ b/src/failover/PlannedMoveRateLimiter.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-bool PromotionPace::take(TimePoint now) {
+bool PlannedMoveRateLimiter::tryAcquire(TimePoint now) {
     while (!_begun.empty() && now - _begun.front() >= kWindow) {
         _begun.pop_front();
     }
--- a/src/failover/PlannedMoveRateLimiter.h
+++ b/src/failover/PlannedMoveRateLimiter.h
@@ -13,10 +13,10 @@
  * promotion call behind the calls of other groups, so simultaneous moves of many groups are spread
  * over several seconds.
  */
-class PromotionPace {
+class PlannedMoveRateLimiter {
 public:
     /** @return whether another move may begin now; if so, the move is counted as begun. */
-    bool take(TimePoint now);
+    bool tryAcquire(TimePoint now);
 
 private:
     std::deque<TimePoint> _begun;
--- a/src/failover/PlannedMoves.cpp
+++ b/src/failover/PlannedMoves.cpp
@@ -14,8 +14,8 @@
 /** After a change of primary, a less suitable primary stays for this time. */
 constexpr Duration kMovePause = std::chrono::minutes(3);
 /** Time for which a node waits in one attempt for a more suitable server to catch up. */
-constexpr Duration kSuccessorPatience = std::chrono::milliseconds(1500);
-constexpr Duration kMoveClaimPatience = std::chrono::milliseconds(300);
+constexpr Duration kSuccessorTimeout = std::chrono::milliseconds(1500);
+constexpr Duration kMoveClaimTimeout = std::chrono::milliseconds(300);
 constexpr Duration kNoSuccessorPause = std::chrono::milliseconds(1000);
 /** Pauses after moves that stopped the primary but promoted no more suitable server. */
 constexpr Duration kFirstRetryPause = std::chrono::seconds(2);
@@ -24,8 +24,8 @@
  * A node that waits for a successor queries all servers, so only the first nodes in order begin a
  * move at first.
  */
-constexpr std::size_t kFirstTakers = 3;
-constexpr Duration kFirstTakersTime = std::chrono::seconds(2);
+constexpr std::size_t kUndelayedTurns = 3;
+constexpr Duration kLaterTurnsDelay = std::chrono::seconds(2);
 
 }  // namespace
 
@@ -82,8 +82,8 @@
 
 /** @return how long this node leaves a planned move to the nodes with earlier turns. */
 Duration GroupFailover::moveDelay() const {
-    const std::size_t turn = std::min(_dependencies.turn(_group), kLastTurn);
-    return kTurn * turn + (turn < kFirstTakers ? Duration(0) : kFirstTakersTime);
+    const std::size_t turn = std::min(_dependencies.turn(_group), kMaxTurn);
+    return kTurnDelay * turn + (turn < kUndelayedTurns ? Duration(0) : kLaterTurnsDelay);
 }
 
 /**
@@ -98,18 +98,19 @@
         giveUp("the reason has passed", Duration(0));
         return;
     }
-    askAll(now);
-    if (now - _phaseSince > kCheckPatience && !isFresh(link(*_former), now)) {
+    requestStatuses(now);
+    if (now - _phaseSince > kCheckTimeout && !isFresh(link(*_former), now)) {
         giveUp("the primary does not answer", Duration(0));
         return;
     }
     if (isSuccessorReady(now)) {
-        if (_dependencies.pace == nullptr || _dependencies.pace->take(now)) {
+        if (_dependencies.moveRateLimiter == nullptr ||
+            _dependencies.moveRateLimiter->tryAcquire(now)) {
             enter(Phase::Loading);
         }
         return;
     }
-    if (now - _phaseSince >= kSuccessorPatience) {
+    if (now - _phaseSince >= kSuccessorTimeout) {
         logWaiting(viewMembers(now), now);
         giveUp("no better server has caught up", kNoSuccessorPause);
     }
@@ -119,8 +120,8 @@
  * @return how long a planned promotion waits for its successor once the record is claimed, which
  * stops writes.
  */
-Duration GroupFailover::claimPatience() const {
-    return _reason == FailoverReason::Misplaced ? kMoveClaimPatience : kLeavingPatience;
+Duration GroupFailover::claimTimeout() const {
+    return _reason == FailoverReason::Misplaced ? kMoveClaimTimeout : kLeavingTimeout;
 }
 
 /**
--- a/src/failover/PromotionSteps.cpp
+++ b/src/failover/PromotionSteps.cpp
@@ -20,7 +20,7 @@
  * A paused replica that cannot be ordered to receive again delays the end of the promotion for this
  * time at most.
  */
-constexpr Duration kResumePatience = std::chrono::milliseconds(500);
+constexpr Duration kResumeTimeout = std::chrono::milliseconds(500);
 
 }  // namespace
 
@@ -127,10 +127,10 @@
             return;
         case PromoteOutcome::Unknown:
             _unansweredCallAt = now;
-            _nextTick = now + kBusyStep * 3;
+            _nextTick = now + kActiveTickInterval * 3;
             return;
         case PromoteOutcome::Unavailable:
-            _nextTick = now + kBusyStep * 3;
+            _nextTick = now + kActiveTickInterval * 3;
             return;
     }
 }
@@ -141,7 +141,7 @@
         return;
     }
     MemberLink& successor = link(_successor);
-    const std::optional<MemberAnswer>& report = successor.report();
+    const std::optional<MemberResponse>& report = successor.report();
     const ListedServer* server = listed(_successor);
     // An earlier server announcement belongs to an earlier leadership of the same server.
     const bool announced = server != nullptr && !server->removed &&
@@ -163,12 +163,12 @@
         enter(Phase::Closing);
         return;
     }
-    if (now - _phaseSince > kConfirmPatience) {
+    if (now - _phaseSince > kConfirmTimeout) {
         _notRunning[_successor] = now + kNotRunningPause;
         enterSecuring(now);
         return;
     }
-    const bool due = !report || now - report->askedAt > kBusyStep * 3;
+    const bool due = !report || now - report->askedAt > kActiveTickInterval * 3;
     if (due) {
         successor.request(ServerCommand::Kind::Status);
     }
@@ -203,8 +203,8 @@
  * (LeadershipTracker::confirmByRecord).
  */
 void GroupFailover::closeRecord(TimePoint now) {
-    askAll(now);
-    const bool awaitsReceivers = resumeReceivers(now) && now - _phaseSince < kResumePatience;
+    requestStatuses(now);
+    const bool awaitsReceivers = resumeReceivers(now) && now - _phaseSince < kResumeTimeout;
     if (_busy || awaitsReceivers || now < _announcementSeenAt + pooling::kLeadershipLease) {
         return;
     }
--- a/src/failover/RecordClaim.cpp
+++ b/src/failover/RecordClaim.cpp
@@ -48,7 +48,7 @@
     const bool isHeld = _record.isClaimOf(_dependencies.era.current());
     const bool own = isHeld && _record.holder == _dependencies.holder;
     if (_record.phase == PromotionPhase::None) {
-        if (mustLeaveToHolder(now)) {
+        if (isHolderExclusive(now)) {
             giveUp("another node has just promoted", kConflictPause);
             return;
         }
@@ -117,7 +117,7 @@
 }
 
 void GroupFailover::refreshRecord(TimePoint now) {
-    if (!_busy && now - _refreshedAt > kRefreshEvery) {
+    if (!_busy && now - _refreshedAt > kRefreshInterval) {
         _refreshedAt = now;
         save(_record, &GroupFailover::onRefreshed);
     }
--- a/src/failover/StoreReturn.cpp
+++ b/src/failover/StoreReturn.cpp
@@ -52,20 +52,20 @@
 
 /** Writes the newest known record into the store, under the holder that it names. */
 void GroupFailover::restore(TimePoint now) {
-    const std::size_t turn = std::min(_dependencies.turn(_group), kLastTurn);
-    const bool isOwnTurn = _incompleteSince && now - *_incompleteSince >= kTurn * turn;
+    const std::size_t turn = std::min(_dependencies.turn(_group), kMaxTurn);
+    const bool isOwnTurn = _incompleteSince && now - *_incompleteSince >= kTurnDelay * turn;
     if (isOwnTurn) {
-        writeAgain(_newest, "promotion.restored");
+        rewriteRecord(_newest, "promotion.restored");
     }
 }
 
-void GroupFailover::writeAgain(PromotionRecord record, const char* event) {
+void GroupFailover::rewriteRecord(PromotionRecord record, const char* event) {
     const TimePoint now = _dependencies.clock.now();
-    if (_busy || now < _nextWriteAgain) {
+    if (_busy || now < _nextRewriteAt) {
         return;
     }
     _busy = true;
-    _nextWriteAgain = now + kConflictPause;
+    _nextRewriteAt = now + kConflictPause;
     record.version = _record.version;
     record.writtenIn = record.version.era;
     ++record.renewals;
@@ -98,10 +98,10 @@
         !isClaimable(now) || !_primary) {
         return false;
     }
-    const std::size_t turn = std::min(_dependencies.turn(_group), kLastTurn);
+    const std::size_t turn = std::min(_dependencies.turn(_group), kMaxTurn);
     const TimePoint since =
         std::max(_incompleteSince.value_or(now), _dependencies.era.shownAt() + kTakeOverAfter);
-    return now - since >= kTurn * turn;
+    return now - since >= kTurnDelay * turn;
 }
 
 void GroupFailover::onLeadershipProven(const pooling::Primary& primary, TimePoint provenAt) {
@@ -111,7 +111,7 @@
         wantsConfirmation(_dependencies.clock.now())) {
         PromotionRecord record = _record;
         record.confirmedIn = record.version.era;
-        writeAgain(record, "promotion.confirmed");
+        rewriteRecord(record, "promotion.confirmed");
     }
 }
 
@@ -125,13 +125,13 @@
 void GroupFailover::onReceiversPaused(TimePoint at) {
     const TimePoint now = _dependencies.clock.now();
     const bool isAfterLostCalls = at >= _dependencies.era.shownAt() + kTakeOverAfter;
-    if (isAfterLostCalls && now - at < kSuspicionHolds && wantsConfirmation(now)) {
+    if (isAfterLostCalls && now - at < kSuspicionValidity && wantsConfirmation(now)) {
         _pausedFoundAt = now;
     }
 }
 
 bool GroupFailover::hasLostPromotion(TimePoint now) const {
-    return _pausedFoundAt && now - *_pausedFoundAt < kSuspicionHolds;
+    return _pausedFoundAt && now - *_pausedFoundAt < kSuspicionValidity;
 }
 
 }  // namespace coralhoist::failover
--- a/src/failover/SuccessorChoice.cpp
+++ b/src/failover/SuccessorChoice.cpp
@@ -16,16 +16,16 @@
  * Number of log records by which a successor may still be behind a primary that is to be replaced
  * while it serves.
  */
-constexpr LogPosition kNearlyCaughtUp = 2;
+constexpr LogPosition kMaxSuccessorLag = 2;
 /** A former primary is promoted again when no other server has all commits for this time. */
 constexpr Duration kRepromoteAfter = milliseconds(600);
 /**
  * A server that cannot serve its callers leads when no more suitable server could lead for this
  * time.
  */
-constexpr Duration kLastResortPatience = milliseconds(1500);
+constexpr Duration kLastResortTimeout = milliseconds(1500);
 /** A promotion call without a response may be carried out this much later. */
-constexpr Duration kLateCall = milliseconds(2500);
+constexpr Duration kLateCallWindow = milliseconds(2500);
 
 }  // namespace
 
@@ -98,7 +98,7 @@
             continue;
         }
         const bool isHeldBack = suitability == LeadSuitability::LastResort &&
-                                secured < kLastResortPatience && hasBetterServer(suitability);
+                                secured < kLastResortTimeout && hasBetterServer(suitability);
         if (secured < kCatchUpGrace && awaitsBetterServer(quorum, suitability)) {
             return std::nullopt;
         }
@@ -151,7 +151,8 @@
  * another successor that has acknowledged commits by that time.
  */
 bool GroupFailover::mustAwaitCall(const ServerName& successor, TimePoint now) const {
-    return _unansweredCallAt && now - *_unansweredCallAt < kLateCall && successor != _successor;
+    return _unansweredCallAt && now - *_unansweredCallAt < kLateCallWindow &&
+           successor != _successor;
 }
 
 /**
@@ -179,7 +180,7 @@
  * must be more suitable than the primary. The successor of a primary that is about to shut down
  * must be able to serve its callers, if any server is.
  */
-bool GroupFailover::isWorthTheMove(const ServerName& server) const {
+bool GroupFailover::justifiesStepDown(const ServerName& server) const {
     if (_reason == FailoverReason::Misplaced) {
         return suitabilityOf(server) < suitabilityOf(*_former);
     }
@@ -199,12 +200,12 @@
     return std::any_of(_links.begin(), _links.end(), [&](const auto& entry) {
         const ListedServer* server = listed(entry.first);
         if (server == nullptr || !isStaying(*server) || entry.first == *_former ||
-            !isWorthTheMove(entry.first) || !isCurrent(*entry.second, now)) {
+            !justifiesStepDown(entry.first) || !isCurrent(*entry.second, now)) {
             return false;
         }
         const OpTime received = entry.second->report()->report.received;
         return received.term == target.term &&
-               received.position + kNearlyCaughtUp >= target.position;
+               received.position + kMaxSuccessorLag >= target.position;
     });
 }
 
--- a/tests/failover/CommitQuorumTest.cpp
+++ b/tests/failover/CommitQuorumTest.cpp
@@ -52,7 +52,7 @@
     CHECK_TRUE(quorum.holdsAllCommits(kSecond));
 }
 
-TEST(CommitQuorum, BehindTheFormerLeaderEverybodyElseMustBeKnown) {
+TEST(CommitQuorum, ALogBehindTheFormerLeaderNeedsReportsOfAllOtherMembers) {
     const CommitQuorum silent({member(kFirst, MemberRole::Following, 7),
                                member(kSecond, MemberRole::Following, 6), unknown(kThird)},
                               kFirst);
@@ -75,7 +75,7 @@
     CHECK_TRUE(quorum.mayAcknowledge());
 }
 
-TEST(CommitQuorum, WhoeverHasSeenALaterTermShowsThatTheLeaderIsAnotherOne) {
+TEST(CommitQuorum, AMemberOfALaterTermShowsThatTheLeaderIsAnotherOne) {
     const CommitQuorum quorum({member(kFirst, MemberRole::Following, 7, 2),
                                member(kSecond, MemberRole::Following, 7, 3), unknown(kThird)},
                               kFirst);
@@ -83,7 +83,7 @@
     CHECK_TRUE(quorum.mayAcknowledge());
 }
 
-TEST(CommitQuorum, ATermBeginsALongerLog) {
+TEST(CommitQuorum, ALaterTermOutranksALongerLog) {
     const CommitQuorum quorum({member(kFirst, MemberRole::Following, 90, 1),
                                member(kSecond, MemberRole::Following, 80, 2),
                                member(kThird, MemberRole::Following, 79, 2)},
@@ -94,9 +94,9 @@
     CHECK_FALSE(quorum.holdsAllCommits(kFirst));
 }
 
-TEST(CommitQuorum, APositionToldWhileCommitsWereAcknowledgedIsNoBound) {
+TEST(CommitQuorum, APositionReportedWhileCommitsWereAcknowledgedIsNoUpperBound) {
     MemberView unsettled = member(kThird, MemberRole::Following, 6);
-    unsettled.isSettled = false;
+    unsettled.isUpperBound = false;
     const CommitQuorum quorum({member(kFirst, MemberRole::Following, 7),
                                member(kSecond, MemberRole::Following, 6), unsettled},
                               kFirst);
--- a/tests/failover/FailoverFixture.cpp
+++ b/tests/failover/FailoverFixture.cpp
@@ -9,12 +9,12 @@
 
 }  // namespace
 
-FailoverFixture::FailoverFixture(std::size_t count, failover::PromotionPace* pace)
+FailoverFixture::FailoverFixture(std::size_t count, failover::PlannedMoveRateLimiter* rateLimiter)
     : group(GroupName("g"), GroupModel{}, queue, judge),
       store(queue, random, judge),
       nodes(count),
       _parser(readReport),
-      _pace(pace) {
+      _rateLimiter(rateLimiter) {
     store.addGroup(group);
     for (std::size_t index = 0; index < count; ++index) {
         FailoverNode& node = nodes[index];
@@ -28,19 +28,21 @@
     }
     step();
     // A node that has just started does not take its list of servers as complete.
-    run(failover::kListSettles + std::chrono::milliseconds(50));
+    run(failover::kListSettlingTime + std::chrono::milliseconds(50));
 }
 
 void FailoverFixture::startFailover(std::size_t index) {
     FailoverNode& node = nodes[index];
     const std::string name = "n" + std::to_string(index + 1);
-    const std::string life = _lives < nodes.size() ? "1" : std::to_string(_lives);
-    ++_lives;
+    const std::string incarnation =
+        _incarnations < nodes.size() ? "1" : std::to_string(_incarnations);
+    ++_incarnations;
     node.failover = std::make_unique<failover::GroupFailover>(
-        group.name(), failover::FailoverDependencies{queue, random, *node.connector, *node.client,
-                                                     *node.client, _parser, name + "/" + life, name,
-                                                     [index](const GroupName&) { return index; },
-                                                     *node.era, &node.placement, _pace});
+        group.name(),
+        failover::FailoverDependencies{queue, random, *node.connector, *node.client, *node.client,
+                                       _parser, name + "/" + incarnation, name,
+                                       [index](const GroupName&) { return index; }, *node.era,
+                                       &node.placement, _rateLimiter});
 }
 
 void FailoverFixture::setLastResort(std::size_t index, bool lastResort) {
--- a/tests/failover/FailoverFixture.h
+++ b/tests/failover/FailoverFixture.h
@@ -30,7 +30,8 @@
 /** Drives failovers against a simulated group. */
 class FailoverFixture {
 public:
-    explicit FailoverFixture(std::size_t nodes = 1, failover::PromotionPace* pace = nullptr);
+    explicit FailoverFixture(std::size_t nodes = 1,
+                             failover::PlannedMoveRateLimiter* rateLimiter = nullptr);
 
     /** Appends commits that are acknowledged to a caller. */
     void commit(std::size_t count);
@@ -70,8 +71,8 @@
     void startFailover(std::size_t index);
 
     failover::ReportParser _parser;
-    failover::PromotionPace* _pace;
-    std::uint64_t _lives = 0;
+    failover::PlannedMoveRateLimiter* _rateLimiter;
+    std::uint64_t _incarnations = 0;
     CommitId _lastCommit = 0;
 };
 
--- a/tests/failover/GroupFailoverTest.cpp
+++ b/tests/failover/GroupFailoverTest.cpp
@@ -12,7 +12,7 @@
 
 TEST_GROUP(GroupFailover){};
 
-TEST(GroupFailover, PromotesTheMostAdvancedReplicaOfADeadPrimary) {
+TEST(GroupFailover, PromotesTheMostAdvancedReplicaOfAFailedPrimary) {
     FailoverFixture fixture;
     fixture.commit(10);
     fixture.server(1).deaf = true;
@@ -47,7 +47,7 @@
     CHECK_TRUE(closedAt - announcedAt >= pooling::kLeadershipLease);
 }
 
-TEST(GroupFailover, LeavesAPrimaryAloneThatAnswers) {
+TEST(GroupFailover, KeepsAPrimaryThatResponds) {
     FailoverFixture fixture;
     fixture.commit(3);
     fixture.suspect(0, SuspicionReason::Silent);
@@ -57,7 +57,7 @@
     CHECK_FALSE(fixture.record().version.exists());
 }
 
-TEST(GroupFailover, ReplacesAPrimaryThatAnnouncesItsEnd) {
+TEST(GroupFailover, ReplacesAPrimaryThatAnnouncesItsShutdown) {
     FailoverFixture fixture;
     fixture.commit(5);
     fixture.server(0).draining = true;
@@ -67,7 +67,7 @@
     UNSIGNED_LONGS_EQUAL(0, fixture.judge.violations().size());
 }
 
-TEST(GroupFailover, OneOfManyNodesTakesUpWhatAllSee) {
+TEST(GroupFailover, OneOfManyNodesActsOnAConditionThatAllSee) {
     constexpr std::size_t kNodes = 8;
     FailoverFixture fixture(kNodes);
     fixture.commit(5);
@@ -82,7 +82,7 @@
     UNSIGNED_LONGS_EQUAL(1, fixture.failover(0).promotions());
 }
 
-TEST(GroupFailover, TheNextNodeTakesUpWhatADeadOneLeaves) {
+TEST(GroupFailover, TheNextNodeActsWhenEarlierNodesHaveEnded) {
     FailoverFixture fixture(3);
     fixture.commit(5);
     fixture.nodes[0].activity->end();
@@ -148,7 +148,7 @@
     UNSIGNED_LONGS_EQUAL(0, fixture.judge.violations().size());
 }
 
-TEST(GroupFailover, AnotherNodeFinishesWhatADeadNodeBegan) {
+TEST(GroupFailover, AnotherNodeFinishesThePromotionOfAnEndedNode) {
     FailoverFixture fixture(2);
     fixture.commit(5);
     fixture.group.crash(fixture.server(0));
--- a/tests/failover/LostCommitTest.cpp
+++ b/tests/failover/LostCommitTest.cpp
@@ -29,7 +29,7 @@
     }
 
     /** The first node claims the record; no node reaches the server with the longest log. */
-    static void claimWhileTheLongestLogIsOutOfReach(FailoverFixture & several) {
+    static void claimWhileLongestLogIsUnreachable(FailoverFixture & several) {
         several.commit(kCommitsOfAll);
         several.server(2).deaf = true;
         several.commit(kCommitsOfOne);
@@ -50,7 +50,7 @@
  * responds at once. A choice that compares only reports requested less than 400 ms ago promotes the
  * shorter log, for example with response times of 200 ms and of 410 to 490 ms.
  */
-TEST(LostCommit, AServerThatAnswersLateIsNotPassedOver) {
+TEST(LostCommit, AServerThatRespondsLateIsNotIgnored) {
     for (const int delay : {0, 100, 200, 300, 350, 380, 410, 450, 490, 700, 1100}) {
         FailoverFixture slow;
         slow.commit(kCommitsOfAll);
@@ -102,7 +102,7 @@
  */
 TEST(LostCommit, OneNodeDrivesAPromotionAtATime) {
     FailoverFixture two(2);
-    claimWhileTheLongestLogIsOutOfReach(two);
+    claimWhileLongestLogIsUnreachable(two);
     const std::string holder = two.record().holder;
     for (int step = 0; step < 800; ++step) {
         two.run(milliseconds(10));
@@ -124,7 +124,7 @@
  */
 TEST(LostCommit, ANodeWhoseRecordWasTakenOverStops) {
     FailoverFixture two(2);
-    claimWhileTheLongestLogIsOutOfReach(two);
+    claimWhileLongestLogIsUnreachable(two);
     two.nodes[0].client->setCut(true);
     while (two.record().holder != "n2/1") {
         two.run(milliseconds(2));
--- a/tests/failover/PlannedMoveTest.cpp
+++ b/tests/failover/PlannedMoveTest.cpp
@@ -10,7 +10,7 @@
 namespace coralhoist::pooled {
 namespace {
 
-using failover::PromotionPace;
+using failover::PlannedMoveRateLimiter;
 using pooling::PromotionPhase;
 using pooling::SuspicionReason;
 using std::chrono::milliseconds;
@@ -162,7 +162,7 @@
     UNSIGNED_LONGS_EQUAL(promotions, fixture.group.promotions());
 }
 
-TEST(PlannedMove, ACrowdedPrimaryThatAnswersIsMoved) {
+TEST(PlannedMove, AnOverloadedPrimaryThatRespondsIsMoved) {
     fixture.setLastResort(0, true);
     for (int step = 0; step < 40; ++step) {
         for (std::size_t node = 0; node < fixture.nodes.size(); ++node) {
@@ -242,7 +242,7 @@
  * Replication needs no suitability: the former primary receives, so a commit reaches its second
  * server.
  */
-TEST(PlannedMove, TheLastReplicaMayStandWhereThePrimaryMustNot) {
+TEST(PlannedMove, TheOnlyReplicaMayBeAServerOfLastResort) {
     fixture.group.leave(fixture.server(2));
     fixture.run(seconds(1));
     fixture.setLastResort(0, true);
@@ -303,7 +303,7 @@
  * The primary is gone with its log before any node can promote. Only the longest log has the
  * commits that the primary and that replica acknowledged together.
  */
-TEST(PlannedMove, NoServerLeadsAtThePriceOfACommit) {
+TEST(PlannedMove, AServerOfLastResortLeadsIfOnlyItHasAllCommits) {
     fixture.setLastResort(1, true);
     fixture.server(2).deaf = true;
     fixture.commit(10);
@@ -320,7 +320,7 @@
 }
 
 /** The less suitable server responds first. */
-TEST(PlannedMove, AServerThatSuitsBetterIsWaitedForThoughItAnswersLate) {
+TEST(PlannedMove, AMoreSuitableServerIsAwaitedThoughItRespondsLate) {
     fixture.setLastResort(0, true);
     fixture.setAcceptable(1);
     fixture.server(2).orderDelay = milliseconds(100);
@@ -346,10 +346,10 @@
 TEST(PlannedMove, ManyGroupsMoveAtOnceWithinTheRateOfCalls) {
     constexpr std::size_t kGroups = 50;
     constexpr std::size_t kMostInASecond = 20;
-    PromotionPace pace;
+    PlannedMoveRateLimiter rateLimiter;
     std::vector<std::unique_ptr<FailoverFixture>> groups;
     for (std::size_t group = 0; group < kGroups; ++group) {
-        groups.push_back(std::make_unique<FailoverFixture>(1, &pace));
+        groups.push_back(std::make_unique<FailoverFixture>(1, &rateLimiter));
         groups.back()->commit(3);
         groups.back()->setLastResort(0, true);
     }
--- a/tests/failover/ReviewTest.cpp
+++ b/tests/failover/ReviewTest.cpp
@@ -47,7 +47,7 @@
     FailoverFixture fixture;
 
     /** Server 1 has 62 commits, server 2 only 11 of them. */
-    void commitWithADeafReplica() {
+    void commitWithLaggingReplica() {
         fixture.commit(11);
         fixture.server(2).deaf = true;
         fixture.commit(51);
@@ -67,8 +67,8 @@
  * connections. Without the primary in the count, the unreachable replica is the one member that may
  * have more, although the commits were on these two servers.
  */
-TEST(Review, AGonePrimaryLeavesNoToleranceForAnUnknownReplica) {
-    commitWithADeafReplica();
+TEST(Review, ARemovedPrimaryDoesNotMakeAnUnreachableReplicaIgnorable) {
+    commitWithLaggingReplica();
     fixture.nodes[0].connector->faults().cut.insert(fixture.server(1).name);
     fixture.group.crash(fixture.server(0));
     fixture.suspect(0, SuspicionReason::Unreachable);
@@ -81,8 +81,8 @@
 }
 
 /** The same, but the replica with all commits responds later than the response timeout. */
-TEST(Review, AGonePrimaryLeavesNoToleranceForALateReplica) {
-    commitWithADeafReplica();
+TEST(Review, ARemovedPrimaryDoesNotMakeALateReplicaIgnorable) {
+    commitWithLaggingReplica();
     fixture.server(1).orderDelay = milliseconds(1600);
     fixture.group.crash(fixture.server(0));
     fixture.suspect(0, SuspicionReason::Unreachable);
@@ -100,8 +100,8 @@
  * then the one member that has more, so the short log would count as sufficient and be preferred to
  * the former primary.
  */
-TEST(Review, AGoneReplicaLeavesNoToleranceForTheFormerPrimary) {
-    commitWithADeafReplica();
+TEST(Review, ARemovedReplicaDoesNotMakeTheFormerPrimaryIgnorable) {
+    commitWithLaggingReplica();
     fixture.group.crash(fixture.server(1));
     fixture.removed[fixture.server(1).name] = fixture.queue.now();
     fixture.suspect(0, SuspicionReason::WritesUnanswered);
@@ -115,7 +115,7 @@
  * between.
  */
 TEST(Review, ServersThatCrashedComeBackWithTheirCommits) {
-    commitWithADeafReplica();
+    commitWithLaggingReplica();
     fixture.group.crash(fixture.server(0));
     fixture.group.crash(fixture.server(1));
     fixture.suspect(0, SuspicionReason::Unreachable);
@@ -131,7 +131,7 @@
  * call reports that it is not running.
  */
 TEST(Review, AReplicaThatRestartsIsNotReplacedByAShorterLog) {
-    commitWithADeafReplica();
+    commitWithLaggingReplica();
     fixture.nodes[0].connector->faults().cut.insert(fixture.server(1).name);
     fixture.group.crash(fixture.server(0));
     fixture.removed[fixture.server(0).name] = fixture.queue.now();
@@ -153,7 +153,7 @@
  * running.
  */
 TEST(Review, AnIncompleteListProvesNothing) {
-    commitWithADeafReplica();
+    commitWithLaggingReplica();
     fixture.unlisted.insert(fixture.server(0).name);
     fixture.unlisted.insert(fixture.server(1).name);
     fixture.commit(100);
@@ -169,7 +169,7 @@
  * primary, and the rule that at most one member may have more would rely on reports made before the
  * primary stopped.
  */
-TEST(Review, APositionToldBeforeThePrimaryStoppedIsNoBound) {
+TEST(Review, APositionReportedBeforeThePrimaryStoppedIsNoUpperBound) {
     fixture.commit(11);
     fixture.server(0).orderDelay = milliseconds(450);
     fixture.server(1).orderDelay = milliseconds(700);
@@ -191,7 +191,7 @@
  * and receives again from the primary, which other servers still reach. The node must not announce
  * again without evaluating the members again.
  */
-TEST(Review, AnAnnouncementIsNotRenewedOnOldEvidence) {
+TEST(Review, AnAnnouncementIsNotRepeatedOnOldReports) {
     fixture.commit(11);
     fixture.nodes[0].connector->faults().cut.insert(fixture.server(0).name);
     fixture.suspect(0, SuspicionReason::Silent);
@@ -218,7 +218,7 @@
  * that the write is done, but the node must not continue under the version of the other node's
  * claim.
  */
-TEST(Review, AnAnswerToAClaimThatWasTakenOverIsNoClaim) {
+TEST(Review, ALateResponseToAClaimThatWasTakenOverIsNoClaim) {
     FailoverFixture two(2);
     const failover::ReportParser parser = readReport;
     FailoverNode& first = two.nodes[0];
@@ -260,8 +260,8 @@
  * The successor of the closed record has left for good, and its entry is forgotten; the node cannot
  * reach the replica with its commits for a while.
  */
-TEST(Review, AForgottenSuccessorDoesNotMakeAShorterLogGood) {
-    commitWithADeafReplica();
+TEST(Review, AForgottenSuccessorDoesNotMakeAShorterLogSufficient) {
+    commitWithLaggingReplica();
     fixture.group.crash(fixture.server(0));
     fixture.suspect(0, SuspicionReason::Unreachable);
     fixture.run(seconds(2));
@@ -316,7 +316,7 @@
  * All servers respond equally late while the primary runs: the promotion ends, or the primary
  * continues to lead.
  */
-TEST(Review, LateAnswersOfAllServersDoNotStopTheGroup) {
+TEST(Review, LateResponsesOfAllServersDoNotStopTheGroup) {
     for (const int delay : {200, 400, 600, 700, 750, 800, 900, 1000, 1100, 1200, 1300, 1400}) {
         for (const bool crash : {false, true}) {
             FailoverFixture slow;
@@ -347,8 +347,8 @@
  * A server responds after 1.6 s each time, even after all other faults have ended: the group still
  * gets a primary.
  */
-TEST(Review, AServerThatAlwaysAnswersLateDoesNotStopTheGroupForEver) {
-    commitWithADeafReplica();
+TEST(Review, AServerThatAlwaysRespondsLateDoesNotStopTheGroupForever) {
+    commitWithLaggingReplica();
     fixture.server(2).deaf = false;
     fixture.server(1).orderDelay = milliseconds(1600);
     fixture.server(2).orderDelay = milliseconds(1600);
--- a/tests/failover/StoreReturnTest.cpp
+++ b/tests/failover/StoreReturnTest.cpp
@@ -16,7 +16,7 @@
 using std::chrono::seconds;
 
 /** Longer than nodes wait for their turns to write a record again. */
-constexpr Duration kRestored = milliseconds(400);
+constexpr Duration kRestoreTime = milliseconds(400);
 
 TEST_GROUP(PromotionStoreReturn) {
     FailoverFixture fixture{2};
@@ -44,7 +44,7 @@
         fixture.run(milliseconds(100));
     }
 
-    void findReplicasPaused(Duration span) {
+    void reportPausedReplicas(Duration span) {
         for (const TimePoint end = fixture.queue.now() + span; fixture.queue.now() < end;) {
             for (std::size_t node = 0; node < fixture.nodes.size(); ++node) {
                 fixture.failover(node).onReceiversPaused(fixture.queue.now());
@@ -65,7 +65,7 @@
     const PromotionRecord before = fixture.record();
     fixture.store.returnOlder(seconds(5));
     CHECK_FALSE(fixture.record().version.exists());
-    fixture.run(kRestored);
+    fixture.run(kRestoreTime);
     CHECK_TRUE(fixture.record().successor == before.successor);
     CHECK_TRUE(fixture.record().base == before.base);
     UNSIGNED_LONGS_EQUAL(before.term, fixture.record().term);
@@ -77,12 +77,12 @@
     promote();
     CHECK_TRUE(fixture.record().isConfirmedIn(1));
     fixture.store.returnOlder(seconds(5));
-    fixture.run(kRestored);
+    fixture.run(kRestoreTime);
     CHECK_FALSE(fixture.record().isConfirmedIn(2));
     CHECK_FALSE(fixture.failover(0).notice().isConfirmed);
 }
 
-TEST(PromotionStoreReturn, NobodyPromotesUntilALostClaimCanHaveNoEffect) {
+TEST(PromotionStoreReturn, NoNodePromotesUntilALostClaimCanHaveNoEffect) {
     fixture.store.returnOlder(milliseconds(100));
     fixture.run(milliseconds(20));
     crashPrimary();
@@ -170,10 +170,10 @@
 TEST(PromotionStoreReturn, AReplicaThatALostPromotionHasPausedReceivesAgain) {
     pauseReplicas();
     // The holder of the lost claim may still call the promotion.
-    findReplicasPaused(kTakeOverAfter - milliseconds(100));
+    reportPausedReplicas(kTakeOverAfter - milliseconds(100));
     UNSIGNED_LONGS_EQUAL(0, fixture.group.promotions());
     CHECK_FALSE(fixture.record().version.exists());
-    findReplicasPaused(seconds(1));
+    reportPausedReplicas(seconds(1));
     fixture.run(seconds(2));
     UNSIGNED_LONGS_EQUAL(1, fixture.group.promotions());
     CHECK_TRUE(fixture.record().phase == PromotionPhase::None);
@@ -184,7 +184,7 @@
 }
 
 /** The lost promotion had a later base than any record, so the leader's log is the reference. */
-TEST(PromotionStoreReturn, AfterALostPromotionNobodyLeadsWhoLacksTheLeadersLog) {
+TEST(PromotionStoreReturn, AfterALostPromotionNoServerLeadsWithoutTheLeadersLog) {
     fixture.server(2).deaf = true;
     fixture.commit(10);
     fixture.group.crash(fixture.server(1));
@@ -193,7 +193,7 @@
     fixture.run(seconds(11));
     fixture.server(2).heldTerm = 2;
     fixture.store.returnOlder(seconds(5));
-    findReplicasPaused(seconds(6));
+    reportPausedReplicas(seconds(6));
     UNSIGNED_LONGS_EQUAL(1, fixture.group.promotions());
     CHECK_FALSE(fixture.server(2).primary);
     UNSIGNED_LONGS_EQUAL(0, fixture.judge.violations().size());
@@ -203,11 +203,11 @@
     promote();
     const std::uint64_t before = fixture.record().version.token();
     fixture.store.returnOlder(seconds(5));
-    fixture.run(kRestored);
+    fixture.run(kRestoreTime);
     CHECK_TRUE(fixture.record().version.token() > before);
 }
 
-TEST(PromotionStoreReturn, WhatIsKnownIsLaterThanAnOlderCopyAndThanAClaimThatKnowsLess) {
+TEST(PromotionStoreReturn, TheKnownRecordIsLaterThanAnOlderCopyAndThanAClaimMadeWithoutIt) {
     PromotionRecord known;
     known.writtenIn = 1;
     known.term = 4;
