--- a/src/failover/GroupFailover.cpp
+++ b/src/failover/GroupFailover.cpp
@@ -198,7 +198,7 @@
         link->onTick(now);
     }
     if (_phase != Phase::Idle && _attemptEra != _dependencies.era.current()) {
-        giveUp("the store has returned older", kConflictPause);
+        giveUp("the store was restored from an older copy", kConflictPause);
         return;
     }
     switch (_phase) {
--- a/src/failover/PlannedMoves.cpp
+++ b/src/failover/PlannedMoves.cpp
@@ -95,12 +95,12 @@
     const bool isStillDue =
         reason == FailoverReason::Misplaced || (needsCheck(reason) && isMisplaced(now));
     if (!isStillDue || _former != _primary->server || mustRestore()) {
-        giveUp("the reason has passed", Duration(0));
+        giveUp("the reason no longer applies", Duration(0));
         return;
     }
     requestStatuses(now);
     if (now - _phaseSince > kCheckTimeout && !isFresh(link(*_former), now)) {
-        giveUp("the primary does not answer", Duration(0));
+        giveUp("the primary does not respond", Duration(0));
         return;
     }
     if (isSuccessorReady(now)) {
@@ -140,7 +140,7 @@
     // If the store did not accept the withdrawal, the claim stands and is carried on to a
     // promotion.
     giveUp(saved.outcome == StoreOutcome::Done ? "no better server keeps up"
-                                               : "the store did not take the withdrawal",
+                                               : "the store did not accept the withdrawal",
            kConflictPause);
 }
 
--- a/src/failover/RecordClaim.cpp
+++ b/src/failover/RecordClaim.cpp
@@ -41,7 +41,8 @@
     _storePause = Duration(0);
     onRecord(loaded.record);
     if (mustRestore() || !isClaimable(now)) {
-        giveUp("the store has lost what is known of the group", kConflictPause);
+        giveUp("the store lacks the newest record, or an earlier claim may still take effect",
+               kConflictPause);
         return;
     }
     // A claim of this incarnation takes over a record of an earlier incarnation.
@@ -61,14 +62,14 @@
     } else if ((isHeld && isOwn(_record)) || now - _recordSeenAt > kTakeOverAfter) {
         claim();
     } else {
-        giveUp("another node is at it", kConflictPause);
+        giveUp("another node drives the promotion", kConflictPause);
     }
 }
 
 void GroupFailover::save(PromotionRecord record,
                          void (GroupFailover::*done)(const SavedRecord&, TimePoint)) {
     if (record.version.era != _dependencies.era.current()) {
-        giveUp("the store has returned older", kConflictPause);
+        giveUp("the store was restored from an older copy", kConflictPause);
         return;
     }
     _busy = true;
@@ -111,8 +112,8 @@
         enterSecuring(_dependencies.clock.now());
         return;
     }
-    giveUp(saved.outcome == StoreOutcome::Conflict ? "another node was first"
-                                                   : "the store did not take the claim",
+    giveUp(saved.outcome == StoreOutcome::Conflict ? "another node claimed the record first"
+                                                   : "the store did not accept the claim",
            saved.outcome == StoreOutcome::Conflict ? kConflictPause : kStorePause);
 }
 
