--- a/src/failover/GroupFailover.cpp
+++ b/src/failover/GroupFailover.cpp
@@ -271,9 +271,9 @@
 /** A suspected primary that responds at all is not replaced, except by a planned move. */
 void GroupFailover::check(TimePoint now) {
     MemberLink& former = link(*_former);
-    const std::optional<TimePoint> heard = former.lastResponseAt();
-    if (heard && *heard >= _phaseSince && (former.report() || !former.isRefused())) {
-        const bool answered = former.report() && former.report()->askedAt >= _phaseSince;
+    const std::optional<TimePoint> lastResponse = former.lastResponseAt();
+    if (lastResponse && *lastResponse >= _phaseSince && (former.report() || !former.isRefused())) {
+        const bool answered = former.report() && former.report()->requestedAt >= _phaseSince;
         if (answered && isMisplaced(now)) {
             _reason = FailoverReason::Misplaced;
             _suspicion = FailoverReason::None;
--- a/src/failover/GroupFailover.h
+++ b/src/failover/GroupFailover.h
@@ -193,7 +193,7 @@
     void awaitSuccessor(TimePoint now);
     Duration claimTimeout() const;
     void withdraw();
-    void onWithdrawn(const SavedRecord& saved, TimePoint askedAt);
+    void onWithdrawn(const SavedRecord& saved, TimePoint requestedAt);
     void noteMoved(TimePoint now);
     void delayNextMove(TimePoint now);
     bool successorLeads();
@@ -243,10 +243,10 @@
     void confirmSuccessor(TimePoint now);
     void closeRecord(TimePoint now);
     void save(PromotionRecord record, void (GroupFailover::*done)(const SavedRecord&, TimePoint));
-    void onClaimed(const SavedRecord& saved, TimePoint askedAt);
-    void onRefreshed(const SavedRecord& saved, TimePoint askedAt);
-    void onAnnounced(const SavedRecord& saved, TimePoint askedAt);
-    void onClosed(const SavedRecord& saved, TimePoint askedAt);
+    void onClaimed(const SavedRecord& saved, TimePoint requestedAt);
+    void onRefreshed(const SavedRecord& saved, TimePoint requestedAt);
+    void onAnnounced(const SavedRecord& saved, TimePoint requestedAt);
+    void onClosed(const SavedRecord& saved, TimePoint requestedAt);
     void giveUp(const char* why, Duration pause);
     void enter(Phase phase);
     MemberLink& link(const ServerName& server);
--- a/src/failover/LeadershipProbe.cpp
+++ b/src/failover/LeadershipProbe.cpp
@@ -23,10 +23,10 @@
 LeadershipProbe::~LeadershipProbe() = default;
 
 void LeadershipProbe::ask(const pooling::ServerDirectory::Servers& servers, TimePoint now) {
-    if (now - _askedAt < kQueryInterval) {
+    if (now - _queriedAt < kQueryInterval) {
         return;
     }
-    _askedAt = now;
+    _queriedAt = now;
     _nextTick = now + kStep;
     std::erase_if(_links, [&servers](const auto& entry) {
         const auto listed = servers.find(entry.first);
@@ -49,7 +49,7 @@
 
 void LeadershipProbe::onTick(TimePoint now) {
     _nextTick = now + kStep;
-    if (now - _askedAt > kIdleAfter) {
+    if (now - _queriedAt > kIdleAfter) {
         _links.clear();
         return;
     }
@@ -88,7 +88,7 @@
                              follower.report.term == claim->report.term &&
                              follower.report.heldTerm <= claim->report.term;
         if (follows) {
-            const TimePoint at = std::min(claim->askedAt, follower.askedAt);
+            const TimePoint at = std::min(claim->requestedAt, follower.requestedAt);
             proven = std::max(proven.value_or(at), at);
         }
     }
@@ -102,11 +102,11 @@
     }
     std::optional<TimePoint> paused;
     for (const auto& [name, link] : _links) {
-        const std::optional<MemberResponse>& answer = link->report();
+        const std::optional<MemberResponse>& response = link->report();
         const bool isPaused =
-            answer && !answer->report.primary && answer->report.heldTerm > claim->report.term;
+            response && !response->report.primary && response->report.heldTerm > claim->report.term;
         if (name != primary.server && isPaused) {
-            const TimePoint at = std::min(claim->askedAt, answer->askedAt);
+            const TimePoint at = std::min(claim->requestedAt, response->requestedAt);
             paused = std::max(paused.value_or(at), at);
         }
     }
--- a/src/failover/LeadershipProbe.h
+++ b/src/failover/LeadershipProbe.h
@@ -57,7 +57,7 @@
     pooling::ServerConnector& _connector;
     const ReportParser& _parser;
     std::map<ServerName, std::unique_ptr<MemberLink>> _links;
-    TimePoint _askedAt{};
+    TimePoint _queriedAt{};
     TimePoint _nextTick{};
 };
 
--- a/src/failover/MemberLink.cpp
+++ b/src/failover/MemberLink.cpp
@@ -89,7 +89,7 @@
 
 void MemberLink::onTick(TimePoint now) {
     const bool lateOpening = _connection && !_opened && now - _attemptedAt > kOpenTimeout;
-    const bool lateAnswer = !_sent.empty() && now - _sent.front().askedAt > _responseTimeout;
+    const bool lateAnswer = !_sent.empty() && now - _sent.front().requestedAt > _responseTimeout;
     if (lateAnswer) {
         _responseTimeout = std::min(_responseTimeout * 2, kMaxResponseTimeout);
     }
@@ -145,10 +145,10 @@
 }
 
 void MemberLink::note(const PendingCommand& pending, const ServerReport& report) {
-    const MemberResponse answer{report, pending.askedAt, _clock.now()};
-    _report = answer;
+    const MemberResponse response{report, pending.requestedAt, _clock.now()};
+    _report = response;
     if (pending.kind == ServerCommand::Kind::Pause) {
-        _paused = answer;
+        _paused = response;
     }
 }
 
--- a/src/failover/MemberLink.h
+++ b/src/failover/MemberLink.h
@@ -14,7 +14,7 @@
 struct MemberResponse {
     ServerReport report;
     /** When the command was sent. */
-    TimePoint askedAt{};
+    TimePoint requestedAt{};
     /** When the response arrived. */
     TimePoint respondedAt{};
 };
@@ -70,7 +70,7 @@
     struct PendingCommand {
         pooling::ServerCommand::Kind kind = pooling::ServerCommand::Kind::Status;
         Term term = 0;
-        TimePoint askedAt{};
+        TimePoint requestedAt{};
     };
 
     void drop();
--- a/src/failover/MemberSurvey.cpp
+++ b/src/failover/MemberSurvey.cpp
@@ -42,7 +42,7 @@
 void GroupFailover::requestStatuses(TimePoint now) {
     for (const auto& [name, server] : _servers) {
         MemberLink& member = link(name);
-        if (!member.report() || now - member.report()->askedAt >= kStatusInterval) {
+        if (!member.report() || now - member.report()->requestedAt >= kStatusInterval) {
             member.request(ServerCommand::Kind::Status);
         }
     }
@@ -85,10 +85,10 @@
     const bool silent =
         std::any_of(_links.begin(), _links.end(), [this, &quorum, now](const auto& entry) {
             const MemberView* member = quorum.find(entry.first);
-            const TimePoint heard =
+            const TimePoint lastResponse =
                 std::max(_phaseSince, entry.second->lastResponseAt().value_or(_phaseSince));
             return member != nullptr && member->role == MemberRole::Unknown &&
-                   (entry.second->isRefused() || now - heard > kSilenceTimeout);
+                   (entry.second->isRefused() || now - lastResponse > kSilenceTimeout);
         });
     if (!silent) {
         return;
@@ -162,7 +162,8 @@
                                        : MemberRole::Following;
             view.term = report.term;
             view.received = report.received;
-            view.isUpperBound = paused || (_securedAt && member->report()->askedAt >= *_securedAt);
+            view.isUpperBound =
+                paused || (_securedAt && member->report()->requestedAt >= *_securedAt);
         }
         members.push_back(view);
     }
@@ -180,13 +181,14 @@
     if (!member.report()) {
         return false;
     }
-    const MemberResponse& answer = *member.report();
-    return now - answer.askedAt < kReportValidity + 2 * (answer.respondedAt - answer.askedAt);
+    const MemberResponse& response = *member.report();
+    return now - response.requestedAt <
+           kReportValidity + 2 * (response.respondedAt - response.requestedAt);
 }
 
 /** @return whether the member's report is still valid and was requested in the present phase. */
 bool GroupFailover::isCurrent(const MemberLink& member, TimePoint now) const {
-    return isFresh(member, now) && member.report()->askedAt >= _phaseSince;
+    return isFresh(member, now) && member.report()->requestedAt >= _phaseSince;
 }
 
 /**
@@ -214,7 +216,7 @@
              << report.received.term << '.' << report.received.position
              << ",held=" << report.heldTerm
              << ",age_ms=" << inMilliseconds(now - link->report()->respondedAt) << ",took_ms="
-             << inMilliseconds(link->report()->respondedAt - link->report()->askedAt);
+             << inMilliseconds(link->report()->respondedAt - link->report()->requestedAt);
     }
     return text.str();
 }
--- a/src/failover/PlannedMoves.cpp
+++ b/src/failover/PlannedMoves.cpp
@@ -135,7 +135,7 @@
     save(record, &GroupFailover::onWithdrawn);
 }
 
-void GroupFailover::onWithdrawn(const SavedRecord& saved, TimePoint /*askedAt*/) {
+void GroupFailover::onWithdrawn(const SavedRecord& saved, TimePoint /*requestedAt*/) {
     delayNextMove(_dependencies.clock.now());
     // If the store did not accept the withdrawal, the claim stands and is carried on to a
     // promotion.
--- a/src/failover/PromotionSteps.cpp
+++ b/src/failover/PromotionSteps.cpp
@@ -63,10 +63,10 @@
     save(record, &GroupFailover::onAnnounced);
 }
 
-void GroupFailover::onAnnounced(const SavedRecord& saved, TimePoint askedAt) {
+void GroupFailover::onAnnounced(const SavedRecord& saved, TimePoint requestedAt) {
     switch (saved.outcome) {
         case StoreOutcome::Done:
-            _announcedAt = askedAt;
+            _announcedAt = requestedAt;
             _announcedVersion = saved.version;
             enter(Phase::Calling);
             return;
@@ -147,7 +147,7 @@
     const bool announced = server != nullptr && !server->removed &&
                            server->announcement.version > _announcedVersion &&
                            server->announcement.role == pooling::ServerRole::Primary;
-    if (announced || (report && report->report.primary && report->askedAt >= _phaseSince)) {
+    if (announced || (report && report->report.primary && report->requestedAt >= _phaseSince)) {
         if (report && report->report.primary) {
             // If an announcement took no effect, the successor leads a lower term. The record keeps
             // the announced term, because a record with a lower term would be taken for an older
@@ -168,7 +168,7 @@
         enterSecuring(now);
         return;
     }
-    const bool due = !report || now - report->askedAt > kActiveTickInterval * 3;
+    const bool due = !report || now - report->requestedAt > kActiveTickInterval * 3;
     if (due) {
         successor.request(ServerCommand::Kind::Status);
     }
@@ -212,7 +212,7 @@
     save(record, &GroupFailover::onClosed);
 }
 
-void GroupFailover::onClosed(const SavedRecord& saved, TimePoint /*askedAt*/) {
+void GroupFailover::onClosed(const SavedRecord& saved, TimePoint /*requestedAt*/) {
     if (saved.outcome == StoreOutcome::Done) {
         giveUp("done", kHealthyPause);
         return;
--- a/src/failover/RecordClaim.cpp
+++ b/src/failover/RecordClaim.cpp
@@ -76,9 +76,9 @@
     record.holder = _dependencies.holder;
     record.writtenIn = record.version.era;
     ++record.renewals;
-    const TimePoint askedAt = _dependencies.clock.now();
+    const TimePoint requestedAt = _dependencies.clock.now();
     _dependencies.store.save(_group, record,
-                             [this, alive = std::weak_ptr<bool>(_alive), record, done, askedAt,
+                             [this, alive = std::weak_ptr<bool>(_alive), record, done, requestedAt,
                               attempt = _attempt](const SavedRecord& saved) {
                                  if (alive.expired()) {
                                      return;
@@ -90,7 +90,7 @@
                                  }
                                  if (attempt == _attempt) {
                                      _busy = false;
-                                     (this->*done)(saved, askedAt);
+                                     (this->*done)(saved, requestedAt);
                                  }
                              });
 }
@@ -105,7 +105,7 @@
     save(record, &GroupFailover::onClaimed);
 }
 
-void GroupFailover::onClaimed(const SavedRecord& saved, TimePoint /*askedAt*/) {
+void GroupFailover::onClaimed(const SavedRecord& saved, TimePoint /*requestedAt*/) {
     const bool overtaken = _record.holder != _dependencies.holder;
     if (saved.outcome == StoreOutcome::Done && !overtaken) {
         _announcedVersion = saved.version;
@@ -124,7 +124,7 @@
     }
 }
 
-void GroupFailover::onRefreshed(const SavedRecord& saved, TimePoint /*askedAt*/) {
+void GroupFailover::onRefreshed(const SavedRecord& saved, TimePoint /*requestedAt*/) {
     if (saved.outcome == StoreOutcome::Conflict && _phase == Phase::Securing) {
         giveUp("another node took the record over", kConflictPause);
     }
--- a/src/failover/SuccessorChoice.cpp
+++ b/src/failover/SuccessorChoice.cpp
@@ -65,7 +65,7 @@
         return false;
     }
     const ServerReport& report = announced->second->report()->report;
-    const bool current = announced->second->report()->askedAt >= _phaseSince;
+    const bool current = announced->second->report()->requestedAt >= _phaseSince;
     if (!current || !report.primary || report.term < _record.term) {
         return false;
     }
--- a/tests/failover/CommitQuorumTest.cpp
+++ b/tests/failover/CommitQuorumTest.cpp
@@ -57,13 +57,13 @@
                                member(kSecond, MemberRole::Following, 6), unknown(kThird)},
                               kFirst);
     CHECK_FALSE(silent.holdsAllCommits(kSecond));
-    const CommitQuorum heard(
+    const CommitQuorum reported(
         {member(kFirst, MemberRole::Following, 7), member(kSecond, MemberRole::Following, 6),
          member(kThird, MemberRole::Following, 5)},
         kFirst);
-    CHECK_TRUE(heard.isBehind(kSecond));
-    CHECK_TRUE(heard.holdsAllCommits(kSecond));
-    CHECK_FALSE(heard.holdsAllCommits(kThird));
+    CHECK_TRUE(reported.isBehind(kSecond));
+    CHECK_TRUE(reported.holdsAllCommits(kSecond));
+    CHECK_FALSE(reported.holdsAllCommits(kThird));
 }
 
 TEST(CommitQuorum, AnOldPrimaryThatSteppedDownProvesNothing) {
