--- a/src/failover/FailoverTiming.h
+++ b/src/failover/FailoverTiming.h
@@ -46,7 +46,7 @@
 constexpr Duration kConfirmTimeout = std::chrono::milliseconds(2500);
 /** A server that was not running is not chosen again for this time. */
 constexpr Duration kNotRunningPause = std::chrono::milliseconds(1000);
-/** Pauses after an attempt that ended without a promotion. */
+/** Pauses after an attempt that ended without a promotion; kHealthyPause also after a promotion. */
 constexpr Duration kHealthyPause = std::chrono::milliseconds(600);
 constexpr Duration kConflictPause = std::chrono::milliseconds(250);
 constexpr Duration kStorePause = std::chrono::milliseconds(150);
