--- a/src/failover/FailoverReasons.cpp
+++ b/src/failover/FailoverReasons.cpp
@@ -1,4 +1,4 @@
-/** Why a primary is replaced, and whether this node is the one to act on that now. */
+/** Why a primary is replaced, and whether this node acts on the reason now. */
 #include <algorithm>
 
 #include "failover/FailoverTiming.h"
@@ -10,13 +10,14 @@
 using pooling::PromotionPhase;
 
 /**
- * What all nodes see, they would all claim at once; so they wait for their turns, and most find
- * that another one has claimed. What a node alone may have seen, it takes up at once.
+ * Nodes would all claim at once on a condition that all of them see. So each node waits for its
+ * turn, and most nodes find that another one has claimed. A node acts at once on a condition that
+ * it alone may have seen.
  * @return whether this node acts on the reason now.
  */
 bool GroupFailover::isOwnTurn(FailoverReason reason, TimePoint now) {
-    if (reason != _found) {
-        _found = reason;
+    if (reason != _foundReason) {
+        _foundReason = reason;
         _foundSince = now;
     }
     switch (reason) {
@@ -38,8 +39,8 @@
     if (isOwn(_record) && reason == FailoverReason::Abandoned) {
         return true;
     }
-    const std::size_t turn = std::min(_dependencies.turn(_group), kLastTurn);
-    return now - _foundSince >= kTurn * turn;
+    const std::size_t turn = std::min(_dependencies.turn(_group), kMaxTurn);
+    return now - _foundSince >= kTurnDelay * turn;
 }
 
 FailoverReason GroupFailover::findReason(TimePoint now) const {
@@ -51,12 +52,12 @@
         const bool isOwnClaim = isOwn(_record) && _record.isClaimOf(_dependencies.era.current());
         return isOwnClaim || stale ? FailoverReason::Abandoned : FailoverReason::None;
     }
-    if (mustLeaveToHolder(now)) {
+    if (isHolderExclusive(now)) {
         return FailoverReason::None;
     }
     if (!_primary) {
         const bool lasting =
-            _withoutPrimarySince && now - *_withoutPrimarySince > kNoPrimaryPatience;
+            _withoutPrimarySince && now - *_withoutPrimarySince > kNoPrimaryTimeout;
         return lasting ? FailoverReason::NoPrimary : FailoverReason::None;
     }
     const ListedServer* primary = listed(_primary->server);
@@ -67,19 +68,23 @@
     if (hasLostPromotion(now)) {
         return FailoverReason::Lost;
     }
-    const bool suspected = _suspected == _primary->server && now - _suspectedAt < kSuspicionHolds;
+    const bool suspected =
+        _suspected == _primary->server && now - _suspectedAt < kSuspicionValidity;
     if (suspected && _suspicion != FailoverReason::None) {
         return _suspicion;
     }
     return isMisplaced(now) ? FailoverReason::Misplaced : FailoverReason::None;
 }
 
-/** A misplaced primary may show by time, and by what is decided elsewhere: it is looked for. */
+/**
+ * A primary may become misplaced by the passage of time or by decisions made elsewhere, so a group
+ * whose primary may move is never at rest.
+ */
 bool GroupFailover::isAtRest(TimePoint now) const {
     const bool isIdle =
-        _phase == Phase::Idle && !_busy && _links.empty() && _found == FailoverReason::None;
+        _phase == Phase::Idle && !_busy && _links.empty() && _foundReason == FailoverReason::None;
     const bool isRecordSettled = _record.phase == PromotionPhase::None && !mustRestore() &&
-                                 !lacksRecord() && !mustLeaveToHolder(now);
+                                 !lacksRecord() && !isHolderExclusive(now);
     const bool mayBeMisplaced =
         _dependencies.placement != nullptr && _dependencies.placement->mayMovePrimaries();
     const bool hasPrimary = _primary.has_value() || _servers.empty();
@@ -87,17 +92,20 @@
            findReason(now) == FailoverReason::None;
 }
 
-/** @return whether this node, in this life or an earlier one, wrote the record. */
+/** @return whether any incarnation of this node wrote the record. */
 bool GroupFailover::isOwn(const PromotionRecord& record) const {
     return record.holder.rfind(_dependencies.node + "/", 0) == 0;
 }
 
-/** @return whether another node has promoted so lately that holders would take turns. */
-bool GroupFailover::mustLeaveToHolder(TimePoint now) const {
-    return _record.term > 0 && !isOwn(_record) && now - _recordSeenAt < kHolderTime;
+/**
+ * @return whether another node has promoted so recently that a promotion by this node would make
+ * nodes promote alternately.
+ */
+bool GroupFailover::isHolderExclusive(TimePoint now) const {
+    return _record.term > 0 && !isOwn(_record) && now - _recordSeenAt < kHolderExclusiveTime;
 }
 
-/** @return whether there is a server to replace the primary. */
+/** @return whether there is a server that can replace the primary. */
 bool GroupFailover::hasStayingServer() const {
     return std::any_of(_servers.begin(), _servers.end(), [this](const auto& entry) {
         return isStaying(entry.second) && entry.first != _primary->server;
--- a/src/failover/GroupFailover.cpp
+++ b/src/failover/GroupFailover.cpp
@@ -13,7 +13,7 @@
 using pooling::ServerCommand;
 using std::chrono::milliseconds;
 
-/** @return whether the primary serves until a successor has nearly caught up. */
+/** @return whether the primary keeps serving until a successor has nearly caught up. */
 bool isPlanned(FailoverReason reason) {
     return reason == FailoverReason::Leaving || reason == FailoverReason::Misplaced;
 }
@@ -52,10 +52,12 @@
 
 namespace {
 
-/** All groups of a node are looked at in the same moments, so that their number costs no wake-ups.
+/**
+ * All idle groups of a node tick at the same moments, so that the number of groups adds no
+ * wake-ups.
  */
 TimePoint nextIdleTick(TimePoint now) {
-    return now - now.time_since_epoch() % kIdleStep + kIdleStep;
+    return now - now.time_since_epoch() % kIdleTickInterval + kIdleTickInterval;
 }
 
 }  // namespace
@@ -68,7 +70,10 @@
 
 GroupFailover::~GroupFailover() = default;
 
-/** A list may lack servers that live: who was listed once is kept as removed for a while. */
+/**
+ * A list may lack servers that are running, so a server that was listed once is kept as removed for
+ * kRemovedServerRetention.
+ */
 void GroupFailover::onDirectory(const pooling::ServerDirectory::Servers& servers) {
     const TimePoint now = _dependencies.clock.now();
     if (!servers.empty()) {
@@ -82,7 +87,7 @@
         ListedServer vanished = server;
         vanished.removedAt = server.removed ? server.removedAt : now;
         vanished.removed = true;
-        if (now - vanished.removedAt < kForgottenAfter) {
+        if (now - vanished.removedAt < kRemovedServerRetention) {
             known.emplace(name, vanished);
         }
     }
@@ -96,7 +101,8 @@
         return;
     }
     const bool announces = pooling::announcesAnew(_record.notice(), record.notice());
-    // Written again after a return of the store, a closed record is no change of hands.
+    // A closed record that is written again after the store was restored from an older copy is no
+    // change of the primary.
     const bool isSame = record.phase == pooling::PromotionPhase::None &&
                         record.phase == _record.phase && record.holder == _record.holder &&
                         record.term == _record.term;
@@ -114,8 +120,8 @@
     } else if (!_incompleteSince) {
         _incompleteSince = now;
     }
-    // The version is a claim only for whoever wrote it. Who went on under the version of another
-    // node's claim drove the same promotion beside that node.
+    // Only the node that wrote a version may rely on it as its claim. If a node continued under the
+    // version of another node's claim, both nodes would drive the same promotion.
     if (isDriving() && record.holder != _dependencies.holder) {
         giveUp("another node took the record over", kConflictPause);
     }
@@ -187,12 +193,12 @@
 }
 
 void GroupFailover::onTick(TimePoint now) {
-    _nextTick = _phase == Phase::Idle ? nextIdleTick(now) : now + kBusyStep;
+    _nextTick = _phase == Phase::Idle ? nextIdleTick(now) : now + kActiveTickInterval;
     for (const auto& [name, link] : _links) {
         link->onTick(now);
     }
     if (_phase != Phase::Idle && _attemptEra != _dependencies.era.current()) {
-        giveUp("the store has returned older", kConflictPause);
+        giveUp("the store was restored from an older copy", kConflictPause);
         return;
     }
     switch (_phase) {
@@ -262,22 +268,22 @@
     _nextTick = now + jitter;
 }
 
-/** A suspected primary that answers anything at all is left alone, but for a planned move. */
+/** A suspected primary that responds at all is not replaced, except by a planned move. */
 void GroupFailover::check(TimePoint now) {
     MemberLink& former = link(*_former);
-    const std::optional<TimePoint> heard = former.heardAt();
-    if (heard && *heard >= _phaseSince && (former.report() || !former.isRefused())) {
-        const bool answered = former.report() && former.report()->askedAt >= _phaseSince;
+    const std::optional<TimePoint> lastResponse = former.lastResponseAt();
+    if (lastResponse && *lastResponse >= _phaseSince && (former.report() || !former.isRefused())) {
+        const bool answered = former.report() && former.report()->requestedAt >= _phaseSince;
         if (answered && isMisplaced(now)) {
             _reason = FailoverReason::Misplaced;
             _suspicion = FailoverReason::None;
             enter(Phase::Awaiting);
-        } else if (answered || now - _phaseSince > kCheckPatience) {
+        } else if (answered || now - _phaseSince > kCheckTimeout) {
             giveUp("the primary answers", kHealthyPause);
         }
         return;
     }
-    if (former.isRefused() || now - _phaseSince > kCheckPatience) {
+    if (former.isRefused() || now - _phaseSince > kCheckTimeout) {
         enter(Phase::Loading);
     }
 }
@@ -294,19 +300,19 @@
     secure(now);
 }
 
-/** @return whether lists have come for long enough to name every server that lives. */
+/** @return whether lists have arrived for long enough to name every running server. */
 bool GroupFailover::hasSettledList(TimePoint now) const {
-    return _listedSince && now - *_listedSince >= kListSettles;
+    return _listedSince && now - *_listedSince >= kListSettlingTime;
 }
 
 void GroupFailover::secure(TimePoint now) {
     refreshRecord(now);
-    askAll(now);
+    requestStatuses(now);
     if (isPlanned(_reason) && !_stopping && !isSuccessorReady(now)) {
-        if (now - _phaseSince < claimPatience()) {
+        if (now - _phaseSince < claimTimeout()) {
             return;
         }
-        // A primary that answers no longer is replaced as one that has failed.
+        // A primary that no longer responds is replaced like one that has failed.
         if (_reason == FailoverReason::Misplaced && _claimedClosed && _former &&
             listed(*_former) != nullptr && isCurrent(link(*_former), now) && !_busy) {
             withdraw();
@@ -318,8 +324,8 @@
         return;
     }
     _stopping = true;
-    orderFormers();
-    // Looked at in each step: a replica that restarts has forgotten that it was paused.
+    orderStepDown();
+    // Evaluated in each step, because a replica that restarts loses its pause.
     const CommitQuorum quorum = viewMembers(now);
     logWaiting(quorum, now);
     if (quorum.mayAcknowledge()) {
--- a/src/failover/LeadershipProbe.cpp
+++ b/src/failover/LeadershipProbe.cpp
@@ -8,9 +8,9 @@
 using pooling::ListedServer;
 using pooling::ServerCommand;
 
-/** Time between two questions. */
-constexpr Duration kAskEvery = std::chrono::milliseconds(120);
-/** Connections are closed when nobody has asked for so long. */
+/** Shortest interval between two queries. */
+constexpr Duration kQueryInterval = std::chrono::milliseconds(120);
+/** Connections are closed when no query was made for this time. */
 constexpr Duration kIdleAfter = std::chrono::seconds(2);
 constexpr Duration kStep = std::chrono::milliseconds(20);
 
@@ -23,14 +23,15 @@
 LeadershipProbe::~LeadershipProbe() = default;
 
 void LeadershipProbe::ask(const pooling::ServerDirectory::Servers& servers, TimePoint now) {
-    if (now - _askedAt < kAskEvery) {
+    if (now - _queriedAt < kQueryInterval) {
         return;
     }
-    _askedAt = now;
+    _queriedAt = now;
     _nextTick = now + kStep;
     std::erase_if(_links, [&servers](const auto& entry) {
         const auto listed = servers.find(entry.first);
-        // A removed server may be one that a promoter need not hear.
+        // A removed server proves nothing, because a promoting node may proceed without its
+        // response.
         return listed == servers.end() || listed->second.removed;
     });
     for (const auto& [name, listed] : servers) {
@@ -48,7 +49,7 @@
 
 void LeadershipProbe::onTick(TimePoint now) {
     _nextTick = now + kStep;
-    if (now - _askedAt > kIdleAfter) {
+    if (now - _queriedAt > kIdleAfter) {
         _links.clear();
         return;
     }
@@ -61,19 +62,19 @@
     return _links.empty() ? std::nullopt : std::optional<TimePoint>(_nextTick);
 }
 
-/** @return the answer in which the primary says that it leads; nullptr when there is none. */
-const MemberAnswer* LeadershipProbe::leadershipClaim(const pooling::Primary& primary) const {
+/** @return the response in which the primary reports that it leads; null if there is none. */
+const MemberResponse* LeadershipProbe::leaderResponse(const pooling::Primary& primary) const {
     const auto leader = _links.find(primary.server);
     if (leader == _links.end() || !leader->second->report()) {
         return nullptr;
     }
-    const MemberAnswer& claim = *leader->second->report();
+    const MemberResponse& claim = *leader->second->report();
     const bool leads = claim.report.primary && claim.report.term >= primary.term;
     return leads ? &claim : nullptr;
 }
 
 std::optional<TimePoint> LeadershipProbe::provenAt(const pooling::Primary& primary) const {
-    const MemberAnswer* claim = leadershipClaim(primary);
+    const MemberResponse* claim = leaderResponse(primary);
     if (claim == nullptr) {
         return std::nullopt;
     }
@@ -82,12 +83,12 @@
         if (name == primary.server || !link->report()) {
             continue;
         }
-        const MemberAnswer& follower = *link->report();
+        const MemberResponse& follower = *link->report();
         const bool follows = !follower.report.primary &&
                              follower.report.term == claim->report.term &&
                              follower.report.heldTerm <= claim->report.term;
         if (follows) {
-            const TimePoint at = std::min(claim->askedAt, follower.askedAt);
+            const TimePoint at = std::min(claim->requestedAt, follower.requestedAt);
             proven = std::max(proven.value_or(at), at);
         }
     }
@@ -95,17 +96,17 @@
 }
 
 std::optional<TimePoint> LeadershipProbe::pausedAt(const pooling::Primary& primary) const {
-    const MemberAnswer* claim = leadershipClaim(primary);
+    const MemberResponse* claim = leaderResponse(primary);
     if (claim == nullptr) {
         return std::nullopt;
     }
     std::optional<TimePoint> paused;
     for (const auto& [name, link] : _links) {
-        const std::optional<MemberAnswer>& answer = link->report();
+        const std::optional<MemberResponse>& response = link->report();
         const bool isPaused =
-            answer && !answer->report.primary && answer->report.heldTerm > claim->report.term;
+            response && !response->report.primary && response->report.heldTerm > claim->report.term;
         if (name != primary.server && isPaused) {
-            const TimePoint at = std::min(claim->askedAt, answer->askedAt);
+            const TimePoint at = std::min(claim->requestedAt, response->requestedAt);
             paused = std::max(paused.value_or(at), at);
         }
     }
--- a/src/failover/MemberSurvey.cpp
+++ b/src/failover/MemberSurvey.cpp
@@ -1,4 +1,4 @@
-/** What the members of a group have told and count as; orders to step down and to pause. */
+/** The members' reports and the roles derived from them; orders to step down and to pause. */
 #include <algorithm>
 #include <sstream>
 #include <utility>
@@ -16,34 +16,40 @@
 using pooling::ServerCommand;
 using std::chrono::milliseconds;
 
-/** Silent members make the others be paused after this time; nothing is concluded from silence. */
-constexpr Duration kSilencePatience = milliseconds(350);
-/** What a server has told counts for so long, and for twice the time that its answer took. */
-constexpr Duration kReportHolds = milliseconds(400);
 /**
- * A server counts as gone when its announcement has been removed for the first time and it refuses
- * connections or has been silent for the second. Until then it may come back with its log, lead and
- * receive: servers that crash are back after 3 to 8 s, announcements of living ones after about 2
- * s, and servers with full slots answered after up to 1,141 ms. Two servers that are gone for good
- * at once keep a group without a primary for the first time.
+ * Members that do not respond cause the others to be paused after this time; nothing else is
+ * concluded from a missing response.
+ */
+constexpr Duration kSilenceTimeout = milliseconds(350);
+/** A server's report is valid for this time plus twice the time that the response took. */
+constexpr Duration kReportValidity = milliseconds(400);
+/**
+ * A server counts as gone when its announcement has been removed for kGoneAfter and it refuses
+ * connections or has not responded for kGoneSilence. Until then it may come back with its log, lead
+ * and receive: crashed servers are back after 3 to 8 s, announcements of running servers after
+ * about 2 s, and servers with full slots responded after up to 1,141 ms. If two servers end for
+ * good at once, their group has no primary for kGoneAfter.
  */
 constexpr Duration kGoneAfter = std::chrono::seconds(10);
 constexpr Duration kGoneSilence = milliseconds(2000);
 
 }  // namespace
 
-/** Asks every server for its status whose last answer is older than a few steps. */
-void GroupFailover::askAll(TimePoint now) {
+/**
+ * Requests the status of every server whose last report was requested kStatusInterval ago or
+ * earlier.
+ */
+void GroupFailover::requestStatuses(TimePoint now) {
     for (const auto& [name, server] : _servers) {
         MemberLink& member = link(name);
-        if (!member.report() || now - member.report()->askedAt >= kStatusEvery) {
+        if (!member.report() || now - member.report()->requestedAt >= kStatusInterval) {
             member.request(ServerCommand::Kind::Status);
         }
     }
 }
 
 void GroupFailover::logWaiting(const CommitQuorum& quorum, TimePoint now) {
-    if (now - std::max(_waitingLoggedAt, _phaseSince) < kWaitingLogEvery) {
+    if (now - std::max(_waitingLoggedAt, _phaseSince) < kWaitingLogInterval) {
         return;
     }
     _waitingLoggedAt = now;
@@ -53,8 +59,8 @@
         .field("members", describeMembers(quorum, now));
 }
 
-/** Everyone who leads is told to step down, and a suspected primary that has told nothing yet. */
-void GroupFailover::orderFormers() {
+/** Orders every leader to step down, and also a suspected primary that has not reported yet. */
+void GroupFailover::orderStepDown() {
     const Term term = nextTerm();
     for (const auto& [name, member] : _links) {
         const bool suspected = _former && name == *_former && !member->report();
@@ -69,8 +75,8 @@
 }
 
 /**
- * While some member is silent, it may lead, so that no other may receive. A replica that has
- * restarted has forgotten its pause and is told again.
+ * A member that does not respond may lead, so no other member may receive. A replica that has
+ * restarted has lost its pause and is ordered again.
  */
 void GroupFailover::pauseReceivers(const CommitQuorum& quorum, TimePoint now) {
     if (quorum.formerLeader() != nullptr) {
@@ -79,10 +85,10 @@
     const bool silent =
         std::any_of(_links.begin(), _links.end(), [this, &quorum, now](const auto& entry) {
             const MemberView* member = quorum.find(entry.first);
-            const TimePoint heard =
-                std::max(_phaseSince, entry.second->heardAt().value_or(_phaseSince));
+            const TimePoint lastResponse =
+                std::max(_phaseSince, entry.second->lastResponseAt().value_or(_phaseSince));
             return member != nullptr && member->role == MemberRole::Unknown &&
-                   (entry.second->isRefused() || now - heard > kSilencePatience);
+                   (entry.second->isRefused() || now - lastResponse > kSilenceTimeout);
         });
     if (!silent) {
         return;
@@ -108,7 +114,7 @@
            (member.isRefused() || member.isReplaced() || member.isSilentFor(kGoneSilence, now));
 }
 
-/** @return whether another server is listed at the address: it has the log of the former one. */
+/** @return whether another server is listed at the address and has the log of the former one. */
 bool GroupFailover::isAddressTaken(const ListedServer& server) const {
     const pooling::ServerAddress& address = server.announcement.address;
     return std::any_of(_servers.begin(), _servers.end(), [&address](const auto& entry) {
@@ -119,9 +125,10 @@
 }
 
 /**
- * The record names the newest leader, for no server is promoted without it. While a promotion is
- * announced, its successor may lead or not; then nobody is certain, and neither after a return of
- * the store, which may have lost a later announcement.
+ * The record names the newest leader, because no server is promoted without the record. While a
+ * promotion is announced, its successor may lead or not, so no leader is certain. No leader is
+ * certain either after the store was restored from an older copy, because a later announcement may
+ * be lost.
  */
 ServerName GroupFailover::newestLeader() const {
     if (_record.phase == PromotionPhase::Promoting || isUnconfirmed()) {
@@ -133,7 +140,10 @@
     return _former.value_or(ServerName());
 }
 
-/** Members that the record names and no list has named yet count as gone no sooner than others. */
+/**
+ * Members that the record names and no list has named yet count as gone no sooner than other
+ * members.
+ */
 CommitQuorum GroupFailover::viewMembers(TimePoint now) const {
     std::vector<MemberView> members;
     for (const auto& [name, member] : _links) {
@@ -152,7 +162,8 @@
                                        : MemberRole::Following;
             view.term = report.term;
             view.received = report.received;
-            view.isSettled = paused || (_securedAt && member->report()->askedAt >= *_securedAt);
+            view.isUpperBound =
+                paused || (_securedAt && member->report()->requestedAt >= *_securedAt);
         }
         members.push_back(view);
     }
@@ -170,19 +181,19 @@
     if (!member.report()) {
         return false;
     }
-    const MemberAnswer& answer = *member.report();
-    return now - answer.askedAt < kReportHolds + 2 * (answer.answeredAt - answer.askedAt);
+    const MemberResponse& response = *member.report();
+    return now - response.requestedAt <
+           kReportValidity + 2 * (response.respondedAt - response.requestedAt);
 }
 
-/** @return whether what it has told still counts and was asked in the present phase. */
+/** @return whether the member's report is still valid and was requested in the present phase. */
 bool GroupFailover::isCurrent(const MemberLink& member, TimePoint now) const {
-    return isFresh(member, now) && member.report()->askedAt >= _phaseSince;
+    return isFresh(member, now) && member.report()->requestedAt >= _phaseSince;
 }
 
 /**
- * @return what each member counts as and what it has told, for logs: name, role, term, position,
- * pause, the age of the answer and how long it took, so that a log shows whom a choice could not
- * compare.
+ * @return each member's name, role, term, position, pause, age of its report and duration of its
+ * response, for log lines. A log thus shows which members a choice could not compare.
  */
 std::string GroupFailover::describeMembers(const CommitQuorum& quorum, TimePoint now) const {
     const auto inMilliseconds = [](Duration time) {
@@ -204,8 +215,8 @@
         text << (report.primary ? "primary" : "replica") << ',' << report.term << ','
              << report.received.term << '.' << report.received.position
              << ",held=" << report.heldTerm
-             << ",age_ms=" << inMilliseconds(now - link->report()->answeredAt)
-             << ",took_ms=" << inMilliseconds(link->report()->answeredAt - link->report()->askedAt);
+             << ",age_ms=" << inMilliseconds(now - link->report()->respondedAt) << ",took_ms="
+             << inMilliseconds(link->report()->respondedAt - link->report()->requestedAt);
     }
     return text.str();
 }
--- a/src/failover/PromotionPace.cpp
+++ b/src/failover/PlannedMoveRateLimiter.cpp
@@ -1,15 +1,18 @@
-#include "failover/PromotionPace.h"
+#include "failover/PlannedMoveRateLimiter.h"
 
 namespace coralhoist::failover {
 namespace {
 
 constexpr Duration kWindow = std::chrono::seconds(1);
-/** Less than half of the calls that the platform usually takes, as others may be called for. */
+/**
+ * Less than half of the calls that the platform usually accepts, because other nodes may call as
+ * well.
+ */
 constexpr std::size_t kMovesInWindow = 20;
 
 }  // namespace
 
-bool PromotionPace::take(TimePoint now) {
+bool PlannedMoveRateLimiter::tryAcquire(TimePoint now) {
     while (!_begun.empty() && now - _begun.front() >= kWindow) {
         _begun.pop_front();
     }
--- a/src/failover/RecordClaim.cpp
+++ b/src/failover/RecordClaim.cpp
@@ -1,4 +1,7 @@
-/** The claim on a group's record: reading it, writing it under its version, and losing it. */
+/**
+ * The claim on a group's record: reading the record, writing it under its version, and losing the
+ * claim.
+ */
 #include <utility>
 
 #include "base/Backoff.h"
@@ -30,7 +33,7 @@
     }
     const TimePoint now = _dependencies.clock.now();
     if (loaded.outcome != StoreOutcome::Done) {
-        // Without the store nothing is promoted: nobody could know who may.
+        // Nothing is promoted without the store, because no node could know which one may promote.
         _storePause = nextBackoff(_storePause, kStorePause, kLongestStorePause);
         giveUp("the store can't be read", _storePause);
         return;
@@ -38,43 +41,44 @@
     _storePause = Duration(0);
     onRecord(loaded.record);
     if (mustRestore() || !isClaimable(now)) {
-        giveUp("the store has lost what is known of the group", kConflictPause);
+        giveUp("the store lacks the newest record, or an earlier claim may still take effect",
+               kConflictPause);
         return;
     }
-    // A record of an earlier life is taken over by a claim of this one.
+    // A claim of this incarnation takes over a record of an earlier incarnation.
     const bool isHeld = _record.isClaimOf(_dependencies.era.current());
     const bool own = isHeld && _record.holder == _dependencies.holder;
     if (_record.phase == PromotionPhase::None) {
-        if (mustLeaveToHolder(now)) {
+        if (isHolderExclusive(now)) {
             giveUp("another node has just promoted", kConflictPause);
             return;
         }
         claim();
     } else if (own) {
-        // An announcement of its own may be old: what it rests on is looked at again.
+        // This node's own announcement may be old, so its basis is checked again.
         _successor = _record.successor;
         _announcedVersion = _record.version;
         enterSecuring(now);
     } else if ((isHeld && isOwn(_record)) || now - _recordSeenAt > kTakeOverAfter) {
         claim();
     } else {
-        giveUp("another node is at it", kConflictPause);
+        giveUp("another node drives the promotion", kConflictPause);
     }
 }
 
 void GroupFailover::save(PromotionRecord record,
                          void (GroupFailover::*done)(const SavedRecord&, TimePoint)) {
     if (record.version.era != _dependencies.era.current()) {
-        giveUp("the store has returned older", kConflictPause);
+        giveUp("the store was restored from an older copy", kConflictPause);
         return;
     }
     _busy = true;
     record.holder = _dependencies.holder;
     record.writtenIn = record.version.era;
     ++record.renewals;
-    const TimePoint askedAt = _dependencies.clock.now();
+    const TimePoint requestedAt = _dependencies.clock.now();
     _dependencies.store.save(_group, record,
-                             [this, alive = std::weak_ptr<bool>(_alive), record, done, askedAt,
+                             [this, alive = std::weak_ptr<bool>(_alive), record, done, requestedAt,
                               attempt = _attempt](const SavedRecord& saved) {
                                  if (alive.expired()) {
                                      return;
@@ -86,7 +90,7 @@
                                  }
                                  if (attempt == _attempt) {
                                      _busy = false;
-                                     (this->*done)(saved, askedAt);
+                                     (this->*done)(saved, requestedAt);
                                  }
                              });
 }
@@ -94,39 +98,39 @@
 void GroupFailover::claim() {
     PromotionRecord record = _record;
     _claimedClosed = record.phase == PromotionPhase::None;
-    // An announced successor may lead already; its announcement stays until another follows.
+    // An announced successor may lead already; its announcement stays until another one follows.
     record.phase = record.phase == PromotionPhase::Promoting ? PromotionPhase::Promoting
                                                              : PromotionPhase::Preparing;
     enter(Phase::Claiming);
     save(record, &GroupFailover::onClaimed);
 }
 
-void GroupFailover::onClaimed(const SavedRecord& saved, TimePoint /*askedAt*/) {
+void GroupFailover::onClaimed(const SavedRecord& saved, TimePoint /*requestedAt*/) {
     const bool overtaken = _record.holder != _dependencies.holder;
     if (saved.outcome == StoreOutcome::Done && !overtaken) {
         _announcedVersion = saved.version;
         enterSecuring(_dependencies.clock.now());
         return;
     }
-    giveUp(saved.outcome == StoreOutcome::Conflict ? "another node was first"
-                                                   : "the store did not take the claim",
+    giveUp(saved.outcome == StoreOutcome::Conflict ? "another node claimed the record first"
+                                                   : "the store did not accept the claim",
            saved.outcome == StoreOutcome::Conflict ? kConflictPause : kStorePause);
 }
 
 void GroupFailover::refreshRecord(TimePoint now) {
-    if (!_busy && now - _refreshedAt > kRefreshEvery) {
+    if (!_busy && now - _refreshedAt > kRefreshInterval) {
         _refreshedAt = now;
         save(_record, &GroupFailover::onRefreshed);
     }
 }
 
-void GroupFailover::onRefreshed(const SavedRecord& saved, TimePoint /*askedAt*/) {
+void GroupFailover::onRefreshed(const SavedRecord& saved, TimePoint /*requestedAt*/) {
     if (saved.outcome == StoreOutcome::Conflict && _phase == Phase::Securing) {
         giveUp("another node took the record over", kConflictPause);
     }
 }
 
-/** @return whether the record is this node's claim to promote. */
+/** @return whether the present phase relies on the record as this node's claim to promote. */
 bool GroupFailover::isDriving() const {
     switch (_phase) {
         case Phase::Idle:
--- a/tests/failover/CommitQuorumTest.cpp
+++ b/tests/failover/CommitQuorumTest.cpp
@@ -32,7 +32,7 @@
                               kFirst);
     CHECK_FALSE(quorum.mayAcknowledge());
     CHECK_TRUE(quorum.holdsAllCommits(kSecond));
-    // The commit at 5 may be on the first and the second: the third lacks it.
+    // The commit at 5 may be on the first and the second server; the third lacks it.
     CHECK_FALSE(quorum.holdsAllCommits(kThird));
 }
 
@@ -52,22 +52,22 @@
     CHECK_TRUE(quorum.holdsAllCommits(kSecond));
 }
 
-TEST(CommitQuorum, BehindTheFormerLeaderEverybodyElseMustBeKnown) {
+TEST(CommitQuorum, ALogBehindTheFormerLeaderNeedsReportsOfAllOtherMembers) {
     const CommitQuorum silent({member(kFirst, MemberRole::Following, 7),
                                member(kSecond, MemberRole::Following, 6), unknown(kThird)},
                               kFirst);
     CHECK_FALSE(silent.holdsAllCommits(kSecond));
-    const CommitQuorum heard(
+    const CommitQuorum reported(
         {member(kFirst, MemberRole::Following, 7), member(kSecond, MemberRole::Following, 6),
          member(kThird, MemberRole::Following, 5)},
         kFirst);
-    CHECK_TRUE(heard.isBehind(kSecond));
-    CHECK_TRUE(heard.holdsAllCommits(kSecond));
-    CHECK_FALSE(heard.holdsAllCommits(kThird));
+    CHECK_TRUE(reported.isBehind(kSecond));
+    CHECK_TRUE(reported.holdsAllCommits(kSecond));
+    CHECK_FALSE(reported.holdsAllCommits(kThird));
 }
 
 TEST(CommitQuorum, AnOldPrimaryThatSteppedDownProvesNothing) {
-    // The second leads the newest term and is out of reach; the first led an older one.
+    // The second server leads the newest term and is unreachable; the first led an older term.
     const CommitQuorum quorum({member(kFirst, MemberRole::Following, 7), unknown(kSecond),
                                member(kThird, MemberRole::Following, 3)},
                               kSecond);
@@ -75,7 +75,7 @@
     CHECK_TRUE(quorum.mayAcknowledge());
 }
 
-TEST(CommitQuorum, WhoeverHasSeenALaterTermShowsThatTheLeaderIsAnotherOne) {
+TEST(CommitQuorum, AMemberOfALaterTermShowsThatTheLeaderIsAnotherOne) {
     const CommitQuorum quorum({member(kFirst, MemberRole::Following, 7, 2),
                                member(kSecond, MemberRole::Following, 7, 3), unknown(kThird)},
                               kFirst);
@@ -83,7 +83,7 @@
     CHECK_TRUE(quorum.mayAcknowledge());
 }
 
-TEST(CommitQuorum, ATermBeginsALongerLog) {
+TEST(CommitQuorum, ALaterTermOutranksALongerLog) {
     const CommitQuorum quorum({member(kFirst, MemberRole::Following, 90, 1),
                                member(kSecond, MemberRole::Following, 80, 2),
                                member(kThird, MemberRole::Following, 79, 2)},
@@ -94,9 +94,9 @@
     CHECK_FALSE(quorum.holdsAllCommits(kFirst));
 }
 
-TEST(CommitQuorum, APositionToldWhileCommitsWereAcknowledgedIsNoBound) {
+TEST(CommitQuorum, APositionReportedWhileCommitsWereAcknowledgedIsNoUpperBound) {
     MemberView unsettled = member(kThird, MemberRole::Following, 6);
-    unsettled.isSettled = false;
+    unsettled.isUpperBound = false;
     const CommitQuorum quorum({member(kFirst, MemberRole::Following, 7),
                                member(kSecond, MemberRole::Following, 6), unsettled},
                               kFirst);
--- a/tests/failover/GroupFailoverTest.cpp
+++ b/tests/failover/GroupFailoverTest.cpp
@@ -12,7 +12,7 @@
 
 TEST_GROUP(GroupFailover){};
 
-TEST(GroupFailover, PromotesTheMostAdvancedReplicaOfADeadPrimary) {
+TEST(GroupFailover, PromotesTheMostAdvancedReplicaOfAFailedPrimary) {
     FailoverFixture fixture;
     fixture.commit(10);
     fixture.server(1).deaf = true;
@@ -26,7 +26,10 @@
     UNSIGNED_LONGS_EQUAL(0, fixture.judge.violations().size());
 }
 
-/** A closed record lets nodes that start write at once, so no older proof may be left by then. */
+/**
+ * A closed record lets nodes that start write at once, so no older proof of leadership may be valid
+ * by then.
+ */
 TEST(GroupFailover, ClosesTheRecordOnlyWhenItsAnnouncementIsOlderThanTheLease) {
     FailoverFixture fixture;
     fixture.commit(10);
@@ -44,7 +47,7 @@
     CHECK_TRUE(closedAt - announcedAt >= pooling::kLeadershipLease);
 }
 
-TEST(GroupFailover, LeavesAPrimaryAloneThatAnswers) {
+TEST(GroupFailover, KeepsAPrimaryThatResponds) {
     FailoverFixture fixture;
     fixture.commit(3);
     fixture.suspect(0, SuspicionReason::Silent);
@@ -54,7 +57,7 @@
     CHECK_FALSE(fixture.record().version.exists());
 }
 
-TEST(GroupFailover, ReplacesAPrimaryThatAnnouncesItsEnd) {
+TEST(GroupFailover, ReplacesAPrimaryThatAnnouncesItsShutdown) {
     FailoverFixture fixture;
     fixture.commit(5);
     fixture.server(0).draining = true;
@@ -64,7 +67,7 @@
     UNSIGNED_LONGS_EQUAL(0, fixture.judge.violations().size());
 }
 
-TEST(GroupFailover, OneOfManyNodesTakesUpWhatAllSee) {
+TEST(GroupFailover, OneOfManyNodesActsOnAConditionThatAllSee) {
     constexpr std::size_t kNodes = 8;
     FailoverFixture fixture(kNodes);
     fixture.commit(5);
@@ -79,7 +82,7 @@
     UNSIGNED_LONGS_EQUAL(1, fixture.failover(0).promotions());
 }
 
-TEST(GroupFailover, TheNextNodeTakesUpWhatADeadOneLeaves) {
+TEST(GroupFailover, TheNextNodeActsWhenEarlierNodesHaveEnded) {
     FailoverFixture fixture(3);
     fixture.commit(5);
     fixture.nodes[0].activity->end();
@@ -89,7 +92,10 @@
     UNSIGNED_LONGS_EQUAL(1, fixture.failover(2).promotions());
 }
 
-/** Found on spba-jobgrid, trouble-1 --seed 58618297361: commits of an earlier reign were lost. */
+/**
+ * Guards against a promotion that loses commits of an earlier term: a lagging replica lacks them,
+ * and the primary that has them is suspected.
+ */
 TEST(GroupFailover, NeverPromotesAServerThatLacksCommitsOfAnEarlierReign) {
     FailoverFixture fixture;
     fixture.commit(11);
@@ -103,11 +109,14 @@
     fixture.run(seconds(4));
     CHECK_FALSE(fixture.server(2).primary);
     UNSIGNED_LONGS_EQUAL(0, fixture.judge.violations().size());
-    // The primary that stepped down for nothing leads again.
+    // The primary that stepped down without a successor leads again.
     CHECK_TRUE(fixture.server(1).primary);
 }
 
-/** The same when the successor of the first promotion dies before the deaf one has caught up. */
+/**
+ * Guards against the same loss when the successor of the first promotion crashes before the lagging
+ * replica has caught up.
+ */
 TEST(GroupFailover, WaitsForTheOnlyServerWithAllCommits) {
     FailoverFixture fixture;
     fixture.commit(11);
@@ -126,7 +135,7 @@
     UNSIGNED_LONGS_EQUAL(0, fixture.judge.violations().size());
 }
 
-/** Found on spba-jobgrid, hunt-1a0d-39: two nodes promoted in turn within three seconds. */
+/** Guards against two nodes that promote alternately within three seconds. */
 TEST(GroupFailover, NodesDoNotPromoteInTurnWithinALease) {
     FailoverFixture fixture(2);
     fixture.commit(5);
@@ -139,7 +148,7 @@
     UNSIGNED_LONGS_EQUAL(0, fixture.judge.violations().size());
 }
 
-TEST(GroupFailover, AnotherNodeFinishesWhatADeadNodeBegan) {
+TEST(GroupFailover, AnotherNodeFinishesThePromotionOfAnEndedNode) {
     FailoverFixture fixture(2);
     fixture.commit(5);
     fixture.group.crash(fixture.server(0));
