--- a/src/pooling/LoadReport.h
+++ b/src/pooling/LoadReport.h
@@ -1,4 +1,4 @@
-/** What the executors of one group tell each other while the group is crowded. */
+/** Load reports that the executors of a group exchange while the group is overloaded. */
 #pragma once
 
 #include <vector>
@@ -8,21 +8,28 @@
 
 namespace coralhoist::pooling {
 
-/** What one executor has to do for a group at the moment of sending. Soft state: it ages. */
+/**
+ * The demand of one executor for a group at the time of sending. Soft state: a report loses its
+ * value with age.
+ */
 struct LoadReport {
-    /** The executor that tells it. */
+    /** The executor that sends the report. */
     NodeName sender;
     GroupName group;
-    /** Time of servers' slots that its waiting and running statements need, by rank from 0 on. */
+    /**
+     * Slot time on servers that the sender's queued and running statements need, by rank from 0 on.
+     */
     std::vector<Duration> demandByRank;
-    /** The sender has a queue, or was refused, for want of room; otherwise it only
-     * tells because another one does. */
+    /**
+     * The sender has a queue, or was refused, for lack of capacity; otherwise it reports only
+     * because another executor does.
+     */
     bool crowded = false;
 
     bool operator==(const LoadReport&) const = default;
 };
 
-/** Tells other nodes. Nothing is answered, and a report may be lost. */
+/** Sends load reports to other nodes. Reports are not acknowledged and may be lost. */
 class LoadReporter {
 public:
     virtual ~LoadReporter() = default;
@@ -30,7 +37,7 @@
     virtual void tellLoad(const NodeName& node, const LoadReport& report) = 0;
 };
 
-/** Receives what other nodes tell. */
+/** Receives the load reports of other nodes. */
 class LoadReportEvents {
 public:
     virtual ~LoadReportEvents() = default;
--- a/src/pooling/PlannedStop.cpp
+++ b/src/pooling/PlannedStop.cpp
@@ -7,12 +7,14 @@
 
 using std::chrono::milliseconds;
 
-/** New connections may still come until those who send them have seen that it is not ready. */
+/** New connections may still arrive until the clients have seen that the node is not ready. */
 constexpr Duration kAcceptsFor = milliseconds(2300);
-/** A session that has been idle for so long is closed. */
+/** Idle time after which a session is closed during the stop. */
 constexpr Duration kIdleBeforeClose = milliseconds(100);
-/** What is left of the grace when the last answers are written: a crowded machine with a tenth of a
- * core needs some hundred milliseconds to send them and to end. */
+/**
+ * Part of the grace period that is reserved for writing the last responses: on an overloaded
+ * machine with a tenth of a core, sending them and exiting takes some hundred milliseconds.
+ */
 constexpr Duration kReserve = milliseconds(700);
 
 }  // namespace
--- a/src/pooling/PlannedStop.h
+++ b/src/pooling/PlannedStop.h
@@ -1,4 +1,4 @@
-/** The planned stop of a node: what becomes of its sessions until the process ends. */
+/** Planned stop (drain) of a node: how its sessions are ended before the process exits. */
 #pragma once
 
 #include <cstddef>
@@ -9,15 +9,18 @@
 
 namespace coralhoist::pooling {
 
-/** What a planned stop needs of those who speak with callers. */
+/** What a planned stop needs of the components that serve callers. */
 class StopSurroundings {
 public:
     virtual ~StopSurroundings() = default;
 
-    /** No further connection of a caller is accepted. */
+    /** Stops accepting connections of callers. */
     virtual void stopListening() = 0;
 
-    /** What waits before it reaches the pooler goes on there; the pooler begins nothing new. */
+    /**
+     * Passes on to the pooler the statements that wait in front of it; the pooler begins no new
+     * work.
+     */
     virtual void passOnWaiting() = 0;
 
     /** @return connections of callers and units of other nodes that are open. */
@@ -25,17 +28,16 @@
 };
 
 /**
- * Ends the sessions of one process within the time that it is given. Single-threaded.
- *
- * Connections are accepted until nobody sends any; then idle sessions are closed. In its second
- * half, nothing new is begun, since another node can serve it at once, and open transactions end.
- * What was sent to a server is waited for until just the time to write the answer is left.
- *
- * Invariant: when the process may end, every statement that came has had its answer.
+ * Ends the sessions of one process within the given grace period. Single-threaded.
+ * | Connections are accepted until callers no longer open any; then idle sessions are closed. In
+ * the second half of the grace period no new work is begun, since another node can serve it at
+ * once, and open transactions are ended. Responses to statements that were sent to a server are
+ * awaited until only the time to write the responses is left.
+ * | Invariant: when the process may exit, every statement that was received has been answered.
  */
 class PlannedStop {
 public:
-    /** References outlive the stop. */
+    /** The references must outlive this object. */
     PlannedStop(const Clock& clock, StatementPooler& pooler, StopSurroundings& surroundings)
         : _clock(clock), _pooler(pooler), _surroundings(surroundings) {}
 
@@ -44,7 +46,7 @@
 
     bool hasBegun() const { return _beganAt.has_value(); }
 
-    /** Takes the steps that are due. @return whether the process may end. */
+    /** Performs the steps that are due. @return whether the process may exit. */
     bool advance();
 
 private:
--- a/src/pooling/PooledSession.h
+++ b/src/pooling/PooledSession.h
@@ -1,4 +1,4 @@
-/** State of one caller's session and of the statement it waits for. */
+/** State of one caller's session and of its current statement. */
 #pragma once
 
 #include <cstdint>
@@ -16,10 +16,10 @@
 
 namespace coralhoist::pooling {
 
-/** Values of a session by name. */
+/** Session values by name. */
 using SessionValues = std::map<std::string, std::string>;
 
-/** A prepared name of a session. */
+/** A prepared statement name of a session. */
 struct PreparedShape {
     ShapeKind kind = ShapeKind::Read;
     std::string shape;
@@ -27,12 +27,12 @@
     std::string serverName;
 };
 
-/** How far a session's transaction has come. */
+/** State of a session's transaction. */
 enum class TransactionPhase {
     None,
-    Unstarted, /**< Opened by the caller, not yet at a server. */
-    Open,      /**< Open at a server, on a connection of its own. */
-    Failed,    /**< It will be rolled back; the caller has yet to end it. */
+    Unstarted, /**< Opened by the caller, not yet opened on a server. */
+    Open,      /**< Open on a server, on a dedicated connection. */
+    Failed,    /**< To be rolled back; the caller has not ended it yet. */
 };
 
 /** A transaction of a session. */
@@ -41,94 +41,118 @@
     Statement begin;
     TimePoint arrivedAt{};
     TimePoint lastActivity{};
-    /** Time for which its statements have occupied a slot. */
+    /** Time for which the transaction's statements have occupied a slot. */
     Duration slotTime{0};
-    /** A write has been sent in it. */
+    /** A write has been sent in the transaction. */
     bool wrote = false;
-    /** The caller has been told that it failed. */
+    /** The failure has been reported to the caller. */
     bool failureTold = false;
-    /** Where it is open: on a connection of this node, or in a unit that another node executes. */
+    /**
+     * Where the transaction is open: on a connection of this node, or in a unit that another node
+     * executes.
+     */
     std::optional<ConnectionId> connection;
     std::optional<UnitId> unit;
-    /** The node that executes that unit. */
+    /** The node that executes the unit. */
     NodeName executor;
 };
 
-/** Where a statement is. */
+/** State of a statement. */
 enum class OperationPhase {
     Queued,    /**< Not sent; waits for a server. */
-    Beginning, /**< The transaction that it belongs to is being opened at a server. */
-    Sent,      /**< At a server. */
+    Beginning, /**< The transaction of the statement is being opened on a server. */
+    Sent,      /**< Sent to a server. */
 };
 
-/** The statement that a session waits for. */
+/** The current statement of a session. */
 struct Operation {
     Statement statement;
     OperationPhase phase = OperationPhase::Queued;
-    /** It may change data when it runs. */
+    /** The statement may change data when it runs. */
     bool writes = false;
     TimePoint arrivedAt{};
-    /** First moment of the statement or of its transaction; consistency counts from here. */
+    /**
+     * Arrival of the statement, or of its transaction if it has one; consistency is guaranteed
+     * relative to this time.
+     */
     TimePoint consistentSince{};
-    /** When its caller first asked for it, over refusals and nodes; not after arrivedAt. */
+    /**
+     * When the caller first sent the statement, across refusals and nodes; not later than
+     * arrivedAt.
+     */
     TimePoint firstAskedAt{};
-    /** An answer to it is expected to reach its caller until then. */
+    /** A response that arrives by this time is still expected to be useful to the caller. */
     TimePoint usefulUntil{};
-    /** The answer to a statement that was sent is waited for until then. */
+    /** Until when the response to a sent statement is awaited. */
     TimePoint deadline{};
-    /** Refused as not run when it has not been sent by then. */
+    /** The statement is refused as not run if it has not been sent by this time. */
     TimePoint holdUntil{};
-    /** Not tried again before. */
+    /** The statement is not retried before this time. */
     TimePoint notBefore{};
-    /** When the primary may be written to, as far as known: the statement is looked at then. */
+    /**
+     * When the primary may be written to, as far as known: the statement is reviewed at this time.
+     */
     TimePoint writableAt{};
-    /** When the replica for which it waits is expected to have its position. */
+    /** When the replica that the statement waits for is expected to have reached its position. */
     TimePoint replicaAt{};
     TimePoint sentAt{};
     std::uint32_t attempts = 0;
     std::set<ServerName> avoided;
     ConnectionId connection;
     ServerName server;
-    /** A connection that is being opened for it. */
+    /** A connection that is being opened for the statement. */
     std::optional<ConnectionId> opening;
-    /** The unit in which another node executes it, that node, and nodes that did not take it. */
+    /**
+     * The unit in which another node executes the statement, that node, and the nodes that did not
+     * accept the statement.
+     */
     std::optional<UnitId> unit;
     NodeName executor;
     std::set<NodeName> avoidedExecutors;
-    /** Time for which it would have waited still when it was refused; zero when that is unknown. */
+    /**
+     * Time for which the statement was still expected to wait when it was refused; zero if unknown.
+     */
     Duration forecast{0};
     /** Floor that the server had to have reached, for logs. */
     OpTime floor;
-    /** Why it last did not run, for logs. */
+    /** Why the statement did not run at the last attempt, for logs. */
     const char* lastObstacle = "none";
     std::uint64_t serial = 0;
 };
 
-/** One caller's session. */
+/** The session of one caller. */
 struct PooledSession {
     SessionId id;
     ServiceName service;
-    /** On whose behalf its statements run; empty for none. */
+    /** Tenant on whose behalf the session's statements run; empty for none. */
     TenantName tenant;
     GroupName group;
     settings::ServiceSettings settings;
     SessionValues values;
     std::map<std::string, PreparedShape> prepared;
-    /** Position of the log that has all commits of this session. */
+    /** Log position that covers all commits of this session. */
     OpTime ownFloor;
     SessionTransaction transaction;
     std::optional<Operation> operation;
-    /** A statement has come and is submitted later. */
+    /** A statement has arrived and will be submitted later. */
     bool expectsStatement = false;
-    /** When the last statement came or ended. */
+    /** When the last statement arrived or ended. */
     TimePoint activeAt{};
-    /** It stands for a unit that another node forwarded and whose settings that node decides. */
+    /**
+     * The session represents a unit that another node forwarded; that node determines the settings.
+     */
     bool forwarded = false;
-    /** Time since its caller first asked for the unit's first statement, until that has come. */
+    /**
+     * Time since the caller first sent the unit's first statement; used until that statement
+     * arrives.
+     */
     Duration waited{0};
-    /** The same: time for which an answer to its first statement is of use to the caller. */
+    /**
+     * Time for which a response to the unit's first statement is useful to the caller; used until
+     * that statement arrives.
+     */
     std::optional<Duration> usefulFor;
-    /** What was refused, for the case that the caller asks again. */
+    /** The statement that was refused, in case the caller retries it. */
     admission::FirstAsking firstAsking;
 };
 
--- a/src/pooling/PoolerAdmission.cpp
+++ b/src/pooling/PoolerAdmission.cpp
@@ -1,4 +1,7 @@
-/** Admission: until when a statement is held, whose wait is too long, and when callers return. */
+/**
+ * Admission: how long a statement is held, which statements are refused early, and when refused
+ * callers should retry.
+ */
 #include <algorithm>
 #include <array>
 #include <string>
@@ -11,20 +14,33 @@
 namespace {
 
 constexpr std::uint32_t kPercent = 100;
-/** When a refused caller should come back while no forecast is known: after a promotion, or when a
- * queue has moved on. */
+/**
+ * Retry delay for a refused caller while no forecast is known: after a promotion, or when a queue
+ * has advanced.
+ */
 constexpr std::chrono::milliseconds kComeBackAfterPromotion{500};
 constexpr std::chrono::milliseconds kComeBackAfterOverload{100};
-/** Least slot time that is assumed of a statement, also while none of its kind has been seen. */
+/**
+ * Minimum slot time that is assumed for a statement, also while none of its kind has been observed.
+ */
 constexpr Duration kLeastSlotTime = std::chrono::milliseconds(15);
-/** A caller that comes back near the end of its timeout is held for one part in so many of the
- * timeout more: it wouldn't have come back if it had given the statement up. */
+/**
+ * A caller that retries near the end of its timeout is held beyond the timeout by this fraction
+ * (1/n) of it: the retry shows that the caller has not given up the statement.
+ */
 constexpr int kReturnHoldDivisor = 10;
-/** A return that comes late is held at least for what a proof or a new connection takes. */
+/**
+ * A late retry is held at least for the time that a proof of leadership or a new connection takes.
+ */
 constexpr Duration kLeastHold = std::chrono::milliseconds(50);
-/** Timeouts for which a refused statement is taken for the same one when it is asked again. */
+/**
+ * Number of statement timeouts for which a refused statement is recognized as the same one when it
+ * is retried.
+ */
 constexpr int kTurnKeptFor = 2;
-/** Obstacles that a free slot does not remove: statements behind them are not in a queue. */
+/**
+ * Obstacles that a free slot does not remove: statements with these obstacles are not in a queue.
+ */
 constexpr std::array<std::string_view, 3> kObstaclesWithoutQueue{"no_primary", "promotion_settling",
                                                                  "leadership_unproven"};
 
@@ -36,7 +52,7 @@
 
 }  // namespace
 
-/** Sets the times of a statement that has come: a return counts from its first arrival. */
+/** Sets the deadlines of a statement that has arrived: a retry counts from its first arrival. */
 void StatementPooler::setTimes(PooledSession& session) {
     Operation& operation = *session.operation;
     const TimePoint now = operation.arrivedAt;
@@ -65,14 +81,17 @@
                  std::min(now + kLeastHold, operation.deadline));
 }
 
-/** @return the last moment at which the statement can be sent and still be answered in time. */
+/** @return the latest time at which the statement can be sent and still be answered in time. */
 TimePoint StatementPooler::latestStart(const PooledSession& session) {
     const Duration slotTime =
         groupOf(session).slotTimes.expected(session.service, unitKindOf(session));
     return session.operation->usefulUntil - std::max(slotTime, kLeastSlotTime);
 }
 
-/** Remembers what a caller may ask again, or that it has got what it asked for. */
+/**
+ * Records a refused statement that the caller may retry, or that the caller's statement was
+ * answered.
+ */
 void StatementPooler::noteAsked(PooledSession& session, const StatementResult& result) {
     const Operation& operation = *session.operation;
     if (!result.error) {
@@ -102,7 +121,7 @@
                               late ? admission::Lane::Late : admission::Lane::OnTime);
 }
 
-/** Refuses those of the group's waiting statements that are not expected to start in time. */
+/** Refuses those of the group's queued statements that are not expected to start in time. */
 void StatementPooler::reviewWaits(GroupState& group) {
     const TimePoint now = _clock.now();
     if (group.waiting.empty() || !group.admission.isDue(now)) {
@@ -126,7 +145,7 @@
     }
 }
 
-/** The statement was not sent: the caller is told when a repetition has a chance. */
+/** Refuses a statement that was not sent, and tells the caller when a retry may succeed. */
 void StatementPooler::refuseAsBusy(PooledSession& session) {
     GroupState& group = groupOf(session);
     const bool leaderless =
--- a/src/pooling/PoolerCommits.cpp
+++ b/src/pooling/PoolerCommits.cpp
@@ -1,4 +1,4 @@
-/** What the success of a statement proves about commits, the log and the leadership. */
+/** What a successful statement proves about commits, the log and the leadership. */
 #include <algorithm>
 
 #include "base/Log.h"
@@ -15,9 +15,9 @@
 }
 
 /**
- * A former primary may go on committing until it learns of its successor, and answers may take
- * seconds. What it acknowledges is passed on only when the successor is known to have it; else the
- * caller would hold a commit that is gone.
+ * A former primary may continue to commit until it learns of its successor, and responses may take
+ * seconds. A commit that it acknowledges is passed on only if the successor is known to have it;
+ * otherwise the caller would rely on a commit that is lost.
  */
 bool StatementPooler::isCommitInDoubt(const PooledSession& session,
                                       const StatementResult& result) const {
@@ -45,7 +45,7 @@
     return found != _catalog->groups.end() && found->second.synchronousReplicas > 0;
 }
 
-/** What a success at the primary proves about its leadership and about the log. */
+/** Records what a success on the primary proves about its leadership and about the log. */
 void StatementPooler::noteFreshness(PooledSession& session, const StatementResult& result) {
     GroupState& group = groupOf(session);
     const Operation& operation = *session.operation;
@@ -59,7 +59,8 @@
         return;
     }
     if (committed && replicatesSynchronously(session.group)) {
-        // A replica took the commit after it was sent, so none had been kept from it before.
+        // A replica received the commit after it was sent, so the replica had missed no earlier
+        // commit.
         group.leadership.confirm(*primary, operation.sentAt);
     }
     if (group.leadership.isCertainFor(operation.sentAt)) {
--- a/src/pooling/PoolerConnections.cpp
+++ b/src/pooling/PoolerConnections.cpp
@@ -35,7 +35,7 @@
     settle();
 }
 
-/** Tells the policy where no connection to the server stands any more. */
+/** Notifies the policy if no connection to the server is left. */
 void StatementPooler::noteIfLost(const GroupName& group, const ServerName& name) {
     const auto& servers = groupNamed(group).servers;
     const auto server = servers.find(name);
@@ -76,7 +76,10 @@
     settle();
 }
 
-/** A connection that nobody waited for may have been idle for long: it tells nothing. */
+/**
+ * A connection without awaited results may have been idle for long: its loss says nothing about the
+ * server.
+ */
 void StatementPooler::noteLoss(const ServerConnection& connection) {
     ServerState* server = serverOf(connection);
     if (server == nullptr || connection.awaited.empty()) {
@@ -108,13 +111,16 @@
     }
 }
 
-/** The session is outside any transaction from now on; what it had open is ended elsewhere. */
+/**
+ * The session is outside any transaction from now on; the caller of this function ends what the
+ * session had open.
+ */
 void StatementPooler::forgetTransaction(PooledSession& session) {
     session.transaction = SessionTransaction{};
     _openTransactions.erase(session.id);
 }
 
-/** A statement was sent and its answer will not come. */
+/** A statement was sent and its response will not arrive. */
 void StatementPooler::onSentLost(PooledSession& session, const char* reason) {
     const Operation& operation = *session.operation;
     SessionTransaction& transaction = session.transaction;
@@ -140,7 +146,7 @@
     return _forwarder == nullptr || (_nodesKnown && _placement.executesHere(group));
 }
 
-/** Closes what this node keeps open to servers whose statements other nodes execute. */
+/** Closes idle connections to servers of groups whose statements other nodes execute. */
 void StatementPooler::releaseUnused(GroupState& group) {
     for (auto& [name, server] : group.servers) {
         _connections.discardUnused(server);
@@ -148,8 +154,9 @@
 }
 
 /**
- * One connection to each server stands ready, also to one that may become the primary. Not where
- * each serves one tenant: which one would be needed next is not known.
+ * Keeps one connection open to each server, also to a server that may become the primary. Not done
+ * where each connection serves one tenant, because the tenant that will need the next connection is
+ * unknown.
  */
 void StatementPooler::keepWarm(GroupState& group) {
     if (_callersHaveTenants) {
--- a/src/pooling/PoolerDispatch.cpp
+++ b/src/pooling/PoolerDispatch.cpp
@@ -7,12 +7,14 @@
 namespace coralhoist::pooling {
 namespace {
 
-/** A slowness that was last observed longer ago than this counts only half. */
+/** A slowness that was last observed longer ago than this has half the weight. */
 constexpr Duration kSlownessStaleAfter = std::chrono::milliseconds(500);
-/** A unit of which nothing has been observed is expected to take so long. */
+/** Expected time of a unit for which no observation exists. */
 constexpr Duration kUnknownUnitTime = std::chrono::milliseconds(15);
-/** When a caller should come back whose servers must not be used: where they may stand changes by
- * hand, or by a promotion. */
+/**
+ * Retry delay for a caller whose statement the policy excludes from all servers: the policy's
+ * verdicts change by manual intervention or by a promotion.
+ */
 constexpr Duration kComeBackAfterPlacement = std::chrono::milliseconds(1000);
 
 }  // namespace
@@ -88,8 +90,8 @@
 }
 
 /**
- * What only servers can run that the policy rules out is refused at once, unless one of them is
- * expected to be allowed while an answer is still of use.
+ * Refuses a statement at once if the policy excludes all servers that can run it, unless one of
+ * them is expected to be allowed while a response is still useful.
  * @return whether the statement was refused.
  */
 bool StatementPooler::refuseUnplaceable(PooledSession& session, const PlacementOutlook& outlook) {
@@ -105,7 +107,10 @@
     return true;
 }
 
-/** @return what is known of the server for the session's unit; none when it can't run that. */
+/**
+ * @return the server's properties as a candidate for the session's unit; none if the server can't
+ * run the unit.
+ */
 std::optional<ServerCandidate> StatementPooler::candidateOf(const GroupState& group,
                                                             const ServerState& server,
                                                             const PooledSession& session,
@@ -157,8 +162,9 @@
 }
 
 /**
- * @return how long a read may wait for a replica. Half of what is left of its objective: if the
- * expectation fails, the primary still serves it in time. A primary with slots to spare serves it.
+ * @return how long a read may wait for a replica: half of what is left of its latency objective, so
+ * that the primary can still serve the read in time if the expectation fails. A primary with free
+ * slots serves it without a wait.
  */
 Duration StatementPooler::replicaPatience(const GroupState& group,
                                           const PooledSession& session) const {
@@ -185,17 +191,19 @@
     wakeAt(session, operation.replicaAt);
 }
 
-/** @return the way to a server of another region; none to one of the own. */
+/** @return the path to a server of another region; an empty path to a server of the own region. */
 WayToServer StatementPooler::wayTo(const ServerState& server) const {
     return {_distances == nullptr ? Duration(0) : _distances->to(server.zone, _clock.now()).time};
 }
 
-/** @return statements that may be in flight so that the server has what it takes. */
+/** @return the number of statements that may be in flight to keep the server fully used. */
 double StatementPooler::takenBy(const ServerState& server) const {
     return server.slots * _knobs.inflightPerSlot * wayTo(server).inflightPerRunning(server.latency);
 }
 
-/** @return what is added for the way to the server: to another region, its round trip. */
+/**
+ * @return the cost of the distance to the server: for another region, its round trip is included.
+ */
 Duration StatementPooler::distancePenalty(const ServerState& server) const {
     return server.zone == _knobs.zone ? Duration(0)
                                       : _knobs.otherZonePenalty + wayTo(server).roundTrip;
@@ -206,7 +214,7 @@
     return primary && primary->server == server.address.server;
 }
 
-/** @return whether half of what the server takes from this process is in use, or it refuses. */
+/** @return whether half of the server's limit for this process is in use, or the server refuses. */
 bool StatementPooler::isHalfUsed(const ServerState& server) const {
     return _clock.now() < server.busyUntil || server.inflight * 2 >= server.inflightLimit;
 }
@@ -254,7 +262,9 @@
            _connections.find(*operation.opening)->server == server.address.server;
 }
 
-/** @return whether a connection for the statement is being opened there, or may be. */
+/**
+ * @return whether a connection for the statement is being opened to the server, or may be opened.
+ */
 bool StatementPooler::mayOpenFor(const ServerState& server, const Operation& operation) const {
     return isOpeningAt(operation, server) ||
            (!isOpening(operation) && _connections.mayOpen(server, openingTerms(server)));
@@ -272,8 +282,9 @@
 }
 
 /**
- * An equal share of what a server takes from all nodes, less one: when all nodes lose power, their
- * connections stand for seconds, and each needs one that it can open again at once.
+ * An equal share of the connections that a server accepts from all nodes, less one: when all nodes
+ * lose power, their connections remain for seconds, and each node needs one that it can reopen at
+ * once.
  */
 std::uint32_t StatementPooler::connectionLimit(const GroupName& group) const {
     const auto found = _catalog->groups.find(group);
--- a/src/pooling/PoolerForwarding.cpp
+++ b/src/pooling/PoolerForwarding.cpp
@@ -12,7 +12,10 @@
     return !executesHere(session.group) && forwardToOther(session);
 }
 
-/** @return whether another executor has been found; what was forwarded here stays here. */
+/**
+ * @return whether another executor was found; a unit that was forwarded to this node is not
+ * forwarded again.
+ */
 bool StatementPooler::forwardToOther(PooledSession& session) {
     if (session.forwarded || _forwarder == nullptr) {
         return false;
@@ -40,7 +43,7 @@
     return true;
 }
 
-/** @return the first executor that seems to take units and has not declined this statement. */
+/** @return the first executor that appears to accept units and has not declined this statement. */
 std::optional<NodeName> StatementPooler::chooseExecutor(const PooledSession& session) const {
     const std::vector<NodeName>& preference = _placement.preferenceOf(session.group);
     const auto chosen =
@@ -51,7 +54,7 @@
     return chosen == preference.end() ? std::nullopt : std::optional<NodeName>(*chosen);
 }
 
-/** A further statement of a transaction that another node has opened. */
+/** Forwards a further statement of a transaction that another node has opened. */
 void StatementPooler::forwardInTransaction(PooledSession& session) {
     if (!mayForwardTo(session, session.transaction.executor)) {
         ++_statistics.transactionsEndedByPlacement;
@@ -121,7 +124,7 @@
     SessionTransaction& transaction = session->transaction;
     const bool ended = result.result.state != SessionState::InTransaction;
     if (ended) {
-        // The executing node has closed the unit: nothing is left to be ended there.
+        // The executing node has closed the unit, so nothing is left to be ended there.
         _units.erase(found);
         transaction.unit.reset();
     }
--- a/src/pooling/PoolerQueue.cpp
+++ b/src/pooling/PoolerQueue.cpp
@@ -1,4 +1,4 @@
-/** Statements that wait: their order, what each needs of a server, and its placement. */
+/** Queued statements: their order, what each requires of a server, and their placement. */
 #include <algorithm>
 #include <utility>
 
@@ -8,7 +8,7 @@
 namespace coralhoist::pooling {
 namespace {
 
-/** A statement that has waited for a proof of leadership for so long goes to another node. */
+/** A statement that has waited this long for a proof of leadership is forwarded to another node. */
 constexpr Duration kProofPatience = std::chrono::milliseconds(100);
 
 }  // namespace
@@ -39,7 +39,7 @@
     return waiting;
 }
 
-/** @return the flow whose turn the session's statements take. */
+/** @return the key of the fair-queueing flow that the session's statements belong to. */
 std::string StatementPooler::flowOf(const GroupState& group, const PooledSession& session) {
     if (!session.tenant.value().empty()) {
         return "tenant " + session.tenant.value();
@@ -102,7 +102,7 @@
            session.transaction.phase != TransactionPhase::Open;
 }
 
-/** @return whether the statement no longer waits: it was sent, or refused. */
+/** @return whether the statement is no longer queued: it was sent, or refused. */
 bool StatementPooler::place(GroupState& group, PooledSession& session) {
     Operation& operation = *session.operation;
     if (_clock.now() < operation.notBefore) {
@@ -132,7 +132,10 @@
     return true;
 }
 
-/** @return whether another node executes the statement because this one can't use the primary. */
+/**
+ * @return whether the statement was forwarded to another node because this node can't use the
+ * primary.
+ */
 bool StatementPooler::moveToOther(const GroupState& group, PooledSession& session) {
     const char* obstacle = obstacleHere(group, *session.operation);
     if (obstacle == nullptr || !forwardToOther(session)) {
@@ -174,8 +177,10 @@
     return requirement;
 }
 
-/** Once for each moment: the statement is looked at with every event of its group. A promotion that
- * is being prepared has no such moment; its end is an event. */
+/**
+ * Schedules one review for each time: a statement is reviewed with every event of its group. A
+ * promotion that is being prepared has no known end time; its end is an event.
+ */
 void StatementPooler::wakeWhenWritable(PooledSession& session, TimePoint at) {
     if (at > _clock.now() && session.operation->writableAt != at) {
         session.operation->writableAt = at;
@@ -220,10 +225,10 @@
 }
 
 /**
- * A statement that needs the primary may fare better on another node when the primary is silent or
- * out of reach from here, has no connection left for this process, or can't be proven to lead here.
- * The others may see the same, but then nothing is lost.
- * @return a word for logs; null when this node can serve it.
+ * A statement that needs the primary may be served better by another node if the primary is silent
+ * or unreachable from this node, has no connection left for this process, or can't be proven to
+ * lead. The other nodes may have the same obstacle, but then nothing is lost.
+ * @return a word for logs; null if this node can serve the statement.
  */
 const char* StatementPooler::obstacleHere(const GroupState& group,
                                           const Operation& operation) const {
--- a/src/pooling/PoolerResults.cpp
+++ b/src/pooling/PoolerResults.cpp
@@ -1,4 +1,4 @@
-/** What servers answer, and what follows from it. */
+/** Handling of servers' responses. */
 #include <algorithm>
 #include <utility>
 
@@ -9,9 +9,9 @@
 namespace coralhoist::pooling {
 namespace {
 
-/** A statement is given up as not run after so many attempts. */
+/** Number of attempts after which a statement is abandoned as not run. */
 constexpr std::uint32_t kMaximumAttempts = 12;
-/** Weight of a new latency: one in so many. */
+/** Weight of a new latency sample is 1/n. */
 constexpr int kLatencySmoothing = 6;
 
 bool isRetryable(StatementFault fault) {
@@ -45,7 +45,7 @@
     if (ServerState* server = serverOf(*connection)) {
         server->heardAt = _clock.now();
         if (awaited == AwaitedResult::Statement) {
-            // Answers to the proxy's own commands do not show that it serves callers.
+            // Responses to the proxy's own commands do not show that the server serves callers.
             server->lostInRow = 0;
         }
         server->silentSince.reset();
@@ -119,7 +119,10 @@
     }
 }
 
-/** Only what ran tells how long the server takes; a refusal is quick and tells the opposite. */
+/**
+ * Only a statement that ran shows how long the server takes; a refusal is fast and indicates the
+ * opposite.
+ */
 void StatementPooler::noteLatency(ServerConnection& connection, PooledSession& session) {
     ServerState* server = serverOf(connection);
     if (server == nullptr) {
@@ -142,7 +145,7 @@
         std::min(server->inflightLimit + _knobs.inflightIncrease, std::max(1.0, takenBy(*server)));
 }
 
-/** Only reads that any server may run compare servers: writes run at the primary alone. */
+/** Servers are compared only by reads that any server may run: writes run on the primary alone. */
 void StatementPooler::noteSlowness(ServerState& server, const PooledSession& session,
                                    Duration took) {
     GroupState& group = groupOf(session);
@@ -157,14 +160,17 @@
     group.outliers.onSuccess(server.address.server, slowness, now);
 }
 
-/** Its answer was lost or will not come. */
+/** Records that the response of a request was lost or will not arrive. */
 void StatementPooler::noteRequestLost(ServerState* server) {
     if (server != nullptr) {
         groupNamed(server->address.group).outliers.onFailure(server->address.server, _clock.now());
     }
 }
 
-/** Slow start: a replica that is admitted again takes more as it answers. */
+/**
+ * Slow start: the in-flight limit of a replica that is admitted again grows as the replica
+ * responds.
+ */
 void StatementPooler::reviewOutliers(const GroupName& name, GroupState& group) {
     std::vector<ServerName> serving;
     for (const auto& [serverName, server] : group.servers) {
@@ -206,7 +212,7 @@
     groupOf(session).slotTimes.add(session.service, kind, took);
 }
 
-/** A transaction was committed or rolled back by its caller. */
+/** Records the slot time of a transaction that its caller committed or rolled back. */
 void StatementPooler::noteTransactionTime(const PooledSession& session) {
     if (session.transaction.slotTime > Duration(0)) {
         groupOf(session).slotTimes.add(session.service, UnitKind::Transaction,
@@ -222,7 +228,10 @@
     }
 }
 
-/** A server that refuses is left alone, longer each time: refused statements come back soon. */
+/**
+ * Pauses sending to a server that refuses, longer each time, because refused statements are retried
+ * soon.
+ */
 void StatementPooler::noteBusy(ServerState& server) {
     server.busyPause = nextBackoff(server.busyPause, _knobs.busyPause, _knobs.longestBusyPause);
     server.busyUntil = _clock.now() + server.busyPause;
@@ -344,7 +353,8 @@
             break;
         case StatementFault::Failed:
         case StatementFault::Timeout:
-            // What only the primary runs tells nothing of it beside the others.
+            // Statements that only the primary runs do not allow a comparison with the other
+            // servers.
             if (isSingleRead(session) &&
                 session.settings.readRouting == settings::ReadRouting::Replica) {
                 group.outliers.onFailure(operation.server, now);
@@ -389,7 +399,7 @@
     }
 }
 
-/** The statement did not run, or only read: it is tried again while there is time. */
+/** The statement did not run, or was only a read: it is retried while there is time. */
 void StatementPooler::requeue(PooledSession& session, const char* obstacle) {
     Operation& operation = *session.operation;
     const TimePoint now = _clock.now();
--- a/src/pooling/PoolerSending.cpp
+++ b/src/pooling/PoolerSending.cpp
@@ -30,7 +30,8 @@
         sendStatement(connection, session, std::move(commands));
         return;
     }
-    // The statement follows once BEGIN has succeeded: it must not run outside the transaction.
+    // The statement is sent after BEGIN has succeeded, because it must not run outside the
+    // transaction.
     operation.phase = OperationPhase::Beginning;
     operation.sentAt = _clock.now();
     ServerCommand begin;
@@ -119,10 +120,10 @@
 }
 
 /**
- * Asked before each further statement of a transaction that is open at a server. A transaction that
- * must not go on there is rolled back by closing its connection: nothing of it is kept, as its
- * COMMIT was not sent.
- * @return whether the statement may be sent now; if not, it waits or has been answered.
+ * Checks the policy before each further statement of a transaction that is open on a server. A
+ * transaction that must not continue there is rolled back by closing its connection: none of its
+ * changes are kept, because its COMMIT was not sent.
+ * @return whether the statement may be sent now; if not, it is deferred or has been answered.
  */
 bool StatementPooler::mayContinue(ServerConnection& connection, PooledSession& session) {
     ServerState* server = _policy == nullptr ? nullptr : serverOf(connection);
--- a/src/pooling/PoolerShares.cpp
+++ b/src/pooling/PoolerShares.cpp
@@ -1,4 +1,7 @@
-/** What the executors of a group tell each other in a crowd, and what each may send then. */
+/**
+ * Load reports between the executors of an overloaded group, and the share of server capacity that
+ * each may use.
+ */
 #include <algorithm>
 
 #include "base/Log.h"
@@ -7,9 +10,9 @@
 namespace coralhoist::pooling {
 namespace {
 
-/** Time between two lines of one group that tell that shares came into force. */
+/** Minimum time between two log lines of one group that report the start of sharing. */
 constexpr Duration kShareLogEvery = std::chrono::seconds(10);
-/** Taken for a statement's slot time while none of its kind has been seen. */
+/** Slot time that is assumed for a statement while none of its kind has been observed. */
 constexpr Duration kUnknownSlotTime = std::chrono::milliseconds(15);
 
 }  // namespace
@@ -21,13 +24,16 @@
             primary && primary->server == server.address.server};
 }
 
-/** @return whether this executor's part of the server has room for one more statement. */
+/** @return whether this executor's share of the server has capacity for one more statement. */
 bool StatementPooler::isWithinShare(const ServerState& server, std::uint32_t inflight) const {
     const CapacityShares& shares = _groups.at(server.address.group).shares;
     return !shares.inForce() || shares.admits(sharedServer(server), inflight, _clock.now());
 }
 
-/** A statement found no room: it is looked at again when a turn comes. */
+/**
+ * Records that a statement found no capacity; it is reviewed again when this executor's next turn
+ * comes.
+ */
 void StatementPooler::noteNoRoom(GroupState& group, const PooledSession& session) {
     const TimePoint now = _clock.now();
     group.shares.noteNoRoom(now);
@@ -53,7 +59,7 @@
     }
 }
 
-/** @return what waiting and running statements need, and what the servers in use take. */
+/** @return the demand of queued and running statements, and the capacity of the servers in use. */
 OwnLoad StatementPooler::ownLoad(const GroupName& name, GroupState& group) {
     OwnLoad load;
     std::vector<Duration>& demand = load.demandByRank;
@@ -88,7 +94,7 @@
     return load;
 }
 
-/** Once a round: takes the own demand, tells it, and puts shares in force or ends them. */
+/** Called once per round: updates and reports the own demand, and starts or ends sharing. */
 void StatementPooler::updateShares(const GroupName& name, GroupState& group, TimePoint now) {
     CapacityShares& shares = group.shares;
     const bool shared = _placement.executesHere(name) && _placement.executorCount(name) > 1;
@@ -113,7 +119,7 @@
     }
 }
 
-/** Begin and end of the shares of one crowd, of one crowd at most in kShareLogEvery. */
+/** Logs the start and end of sharing, at most one start every kShareLogEvery. */
 void StatementPooler::logShares(const GroupName& name, GroupState& group, TimePoint now) {
     const bool begins = group.shares.inForce();
     if (begins && now < group.nextShareLog) {
--- a/src/pooling/PoolerStatements.cpp
+++ b/src/pooling/PoolerStatements.cpp
@@ -1,4 +1,4 @@
-/** What callers ask: statements that the pooler answers itself, and the start of the others. */
+/** Statements of callers: those that the pooler answers itself, and the start of the others. */
 #include <algorithm>
 #include <utility>
 
@@ -66,7 +66,7 @@
     settle();
 }
 
-/** A change of the service's settings binds from its sessions' next transaction on. */
+/** A change of the service's settings applies from the next transaction of each session. */
 bool StatementPooler::refreshSettings(PooledSession& session) {
     if (session.forwarded) {
         return true;
@@ -151,7 +151,7 @@
     replyError(session, StatementFault::Aborted, "the transaction was rolled back");
 }
 
-/** Ends the session's transaction at the server, or at the node that executes it. */
+/** Ends the session's transaction on the server, or on the node that executes it. */
 void StatementPooler::rollBack(PooledSession& session) {
     ServerConnection* connection = session.transaction.connection
                                        ? _connections.find(*session.transaction.connection)
--- a/src/pooling/PoolerStatistics.h
+++ b/src/pooling/PoolerStatistics.h
@@ -12,10 +12,13 @@
 
 namespace coralhoist::pooling {
 
-/** Counts of latencies in buckets of growing width. */
+/** Histogram of latencies with buckets of increasing width. */
 class LatencyHistogram {
 public:
-    /** Upper bounds of the buckets in milliseconds; one more bucket is above the last. */
+    /**
+     * Upper bounds of the buckets in milliseconds; one more bucket holds everything above the last
+     * bound.
+     */
     static constexpr std::array<std::uint32_t, 12> kBoundsMs{1,   2,   5,   10,  25,   50,
                                                              100, 200, 400, 800, 1500, 3000};
 
@@ -38,47 +41,58 @@
     Duration _sum{0};
 };
 
-/** Grows only, but for what says otherwise. */
+/** Statistics of a pooler. All values are monotonic counters unless noted otherwise. */
 struct PoolerStatistics {
     std::uint64_t statements = 0;
     std::uint64_t replicaReads = 0;
     std::uint64_t primaryStatements = 0;
-    /** Requests that ended with an error, by StatementFault. */
+    /** Statements that ended with an error, by StatementFault. */
     std::array<std::uint64_t, kStatementFaults> failedByFault{};
     std::uint64_t retries = 0;
     std::uint64_t hedges = 0;
     /** Statements refused because they were not expected to start in time. */
     std::uint64_t refusedByForecast = 0;
-    /** Statements refused because no server that may be used for them will be in time. */
+    /** Statements refused because no permitted server is expected to become available in time. */
     std::uint64_t refusedByPlacement = 0;
-    /** Transactions ended because they must not go on where they are open. */
+    /**
+     * Transactions ended because the policy forbids to continue them on the server or node where
+     * they are open.
+     */
     std::uint64_t transactionsEndedByPlacement = 0;
-    /** Both by the policy's reason. */
+    /** The two counts above, by the policy's reason. */
     std::map<std::string, std::uint64_t> refusedByReason;
     std::map<std::string, std::uint64_t> endedByReason;
-    /** Statements asked again after a refusal, which count from their first arrival. */
+    /**
+     * Statements retried by the caller after a refusal; their waiting time counts from the first
+     * arrival.
+     */
     std::uint64_t returnsInTurn = 0;
     std::uint64_t lagging = 0;
-    /** Reads that waited for a replica that would soon have their position. */
+    /** Reads that waited for a replica that was about to reach their position. */
     std::uint64_t waitedForReplica = 0;
-    /** Servers that were ejected for what became of requests, and admitted again. */
+    /**
+     * Servers that outlier detection ejected because of the outcomes of requests, and servers that
+     * it admitted again.
+     */
     std::uint64_t serversEjected = 0;
     std::uint64_t serversAdmitted = 0;
     std::uint64_t connectionsOpened = 0;
-    /** Idle connections closed so that one of another tenant could be opened. */
+    /** Idle connections closed so that a connection of another tenant could be opened. */
     std::uint64_t connectionsReplaced = 0;
     std::uint64_t connectionsLost = 0;
     std::uint64_t proofsWanted = 0;
-    /** Statements sent to other nodes, and executed for them. */
+    /** Statements forwarded to other nodes, and statements executed for other nodes. */
     std::uint64_t forwarded = 0;
     std::uint64_t executedForOthers = 0;
-    /** Reports of load told to other executors, and taken from them. */
+    /** Load reports sent to other executors, and load reports received from them. */
     std::uint64_t loadReportsTold = 0;
     std::uint64_t loadReportsTaken = 0;
-    /** Groups that were looked at, in rounds and for what waits; follows what this node does, not
-     * the number of groups. */
+    /**
+     * Groups visited, in periodic rounds and for queued statements; the count grows with the work
+     * of this node, not with the number of groups.
+     */
     std::uint64_t groupsVisited = 0;
-    /** Groups whose executors share their servers by need at present; not a counter. */
+    /** Groups whose executors currently share their servers by demand; a gauge, not a counter. */
     std::uint64_t groupsSharing = 0;
     LatencyHistogram latency;
 };
--- a/src/pooling/PoolerStop.cpp
+++ b/src/pooling/PoolerStop.cpp
@@ -1,4 +1,4 @@
-/** The planned stop: what becomes of statements and transactions that are still open. */
+/** Planned stop: how open statements and transactions are ended. */
 #include <vector>
 
 #include "base/Log.h"
@@ -7,7 +7,7 @@
 namespace coralhoist::pooling {
 namespace {
 
-/** Why a planned stop refuses a statement or ends a transaction. */
+/** Reason given when a planned stop refuses a statement or ends a transaction. */
 constexpr const char* kStopping = "the node is stopping";
 
 }  // namespace
@@ -49,7 +49,9 @@
     settle();
 }
 
-/** Its answer is not waited for any longer: the caller is told what is known of the statement. */
+/**
+ * Stops waiting for the response: the reply to the caller states what is known of the statement.
+ */
 void StatementPooler::giveUp(PooledSession& session, const char* reason) {
     switch (session.operation->phase) {
         case OperationPhase::Queued:
@@ -85,7 +87,7 @@
     }
 }
 
-/** An answer that comes later finds nobody; a write's connection is closed with it. */
+/** A response that arrives later is discarded; the connection of a write is closed. */
 void StatementPooler::giveUpSent(PooledSession& session, const char* reason) {
     const bool readsOnly = isSingleRead(session);
     if (session.operation->unit) {
--- a/src/pooling/PoolerTimers.cpp
+++ b/src/pooling/PoolerTimers.cpp
@@ -1,4 +1,4 @@
-/** Deadlines of statements, resting transactions, and signs of failed servers. */
+/** Deadlines of statements, idle transactions, and detection of failed servers. */
 #include <algorithm>
 #include <utility>
 #include <vector>
@@ -9,11 +9,11 @@
 namespace coralhoist::pooling {
 namespace {
 
-/** Time between looks at servers and transactions. */
+/** Interval of the periodic review of servers and transactions. */
 constexpr Duration kRound = std::chrono::milliseconds(50);
-/** Samples of freshness older than this serve no read. */
+/** Freshness samples older than this are not used for reads. */
 constexpr Duration kFloorRetention = std::chrono::seconds(10);
-/** Time between two reports of servers' loads. */
+/** Interval between two log events on the load of a server. */
 constexpr Duration kReportEvery = std::chrono::seconds(2);
 
 }  // namespace
@@ -78,8 +78,8 @@
 }
 
 /**
- * The server answers nothing at all, or it answers others while this statement takes several times
- * as long as they do: then its answer is lost, or its connection.
+ * The response is overdue if the server sends no response at all, or if it responds to others while
+ * this statement takes several times as long: then the response or the connection is lost.
  */
 bool StatementPooler::isAnswerOverdue(const Operation& operation, const ServerState* server) const {
     if (server == nullptr) {
@@ -138,7 +138,7 @@
     }
 }
 
-/** @return whether the next round has to look at the group again though nothing happens. */
+/** @return whether the next round has to visit the group again even without an event. */
 bool StatementPooler::reviewGroup(GroupState& group, TimePoint now) {
     ++_statistics.groupsVisited;
     group.floors.dropBefore(now - kFloorRetention);
@@ -164,7 +164,7 @@
                        [](const auto& entry) { return entry.second.connections > 0; });
 }
 
-/** Tells for each server what this process sends there and what becomes of it. */
+/** Logs for each server the load from this process and the outcomes. */
 void StatementPooler::reportServers(const GroupName& name, GroupState& group) {
     const std::optional<Primary>& primary = group.leadership.primary();
     for (auto& [serverName, server] : group.servers) {
@@ -252,7 +252,10 @@
     }
 }
 
-/** Between two of its statements: the next one is told that it was rolled back. */
+/**
+ * Ends a transaction between two of its statements: the reply to the next statement reports the
+ * rollback.
+ */
 void StatementPooler::endTransaction(PooledSession& session, const char* reason) {
     ServerConnection* connection = session.transaction.connection
                                        ? _connections.find(*session.transaction.connection)
--- a/src/pooling/ServerState.h
+++ b/src/pooling/ServerState.h
@@ -1,4 +1,4 @@
-/** What the pooler knows of one server and of its connections to it. */
+/** State that the pooler keeps of one server and of its connections to the server. */
 #pragma once
 
 #include <deque>
@@ -13,9 +13,10 @@
 
 namespace coralhoist::pooling {
 
-/** What the next result on a connection answers. */
+/** The kind of command that the next result on a connection belongs to. */
 enum class AwaitedResult {
-    Housekeeping, /**< A command of the proxy that prepares for a caller's statement. */
+    Housekeeping, /**< A command of the proxy that prepares the connection for a caller's statement.
+                   */
     Rollback,
     Begin,
     Statement,
@@ -27,21 +28,21 @@
     ConnectionId id;
     GroupName group;
     ServerName server;
-    /** On whose behalf statements run on it, for as long as it is open. */
+    /** Tenant on whose behalf statements run on the connection, for as long as it is open. */
     TenantName tenant;
     State state = State::Opening;
-    /** It has run a statement. */
+    /** The connection has run a statement. */
     bool used = false;
     SessionValues values;
     std::set<std::string> prepared;
     std::deque<AwaitedResult> awaited;
-    /** Session whose statement or transaction occupies it; none when abandoned. */
+    /** Session whose statement or transaction occupies the connection; none if abandoned. */
     std::optional<SessionId> user;
-    /** Holds an open transaction. */
+    /** The connection holds an open transaction. */
     bool pinned = false;
-    /** A command of the proxy failed: no later result on it can be trusted. */
+    /** A command of the proxy failed: no later result on the connection can be trusted. */
     bool poisoned = false;
-    /** Counts as a statement in flight. */
+    /** The connection counts as a statement in flight. */
     bool inflight = false;
     TimePoint since{};
 };
@@ -51,49 +52,58 @@
     ServerAddress address;
     ZoneName zone;
     std::uint32_t slots = 1;
-    /** It takes new work. */
+    /** The server accepts new work. */
     bool ready = false;
-    /** Idle connections of all tenants, the one used last at the end. */
+    /** Idle connections of all tenants, the most recently used one last. */
     std::vector<ConnectionId> idle;
     std::uint32_t connections = 0;
     std::uint32_t opening = 0;
     std::uint32_t inflight = 0;
-    /** Statements outside transactions that may be in flight; follows what the server bears. */
+    /** Limit of statements outside transactions in flight; adapts to the server's capacity. */
     double inflightLimit = 0;
-    /** The limit is not lowered again before. */
+    /** The limit is not lowered again before this time. */
     TimePoint nextLowering{};
     /** Smoothed time from sending a statement to its result. */
     Duration latency = std::chrono::milliseconds(15);
     TimePoint latencyAt{};
-    /** It had no capacity: nothing more is sent before, and that pause grows while it has none. */
+    /**
+     * After a refusal for lack of capacity nothing is sent before this time; the pause grows with
+     * consecutive refusals.
+     */
     TimePoint busyUntil{};
     Duration busyPause{0};
-    /** Last sign of life. */
+    /** When the server was last known to be responsive. */
     TimePoint heardAt{};
-    /** Oldest moment since which a statement is unanswered; reset by every answer. */
+    /** Earliest time since which a statement is unanswered; reset by every response. */
     std::optional<TimePoint> silentSince;
-    /** Connections that broke in place of an answer since the last answer, and since when. */
+    /**
+     * Connections that broke instead of delivering a response since the last response, and the time
+     * of the first of them.
+     */
     std::uint32_t lostInRow = 0;
     TimePoint losingSince{};
     TimePoint nextConnect{};
-    /** Idle connections are not verified again before. */
+    /** Idle connections are not verified again before this time. */
     TimePoint nextVerification{};
     /** The last attempt to connect failed. */
     bool unreachable = false;
-    /** Connections that the server has room for, as its last refusal showed. */
+    /** Number of connections that the server accepts, according to its last refusal. */
     std::optional<std::uint32_t> refusedAbove;
     TimePoint refusedUntil{};
-    /** Results since the last report. */
+    /** Results since the last server load log event. */
     std::uint32_t succeeded = 0;
     std::uint32_t refusedBusy = 0;
     std::uint32_t refusedLagging = 0;
-    /** Where its log is, and when it will have what it lacks. */
+    /** The server's log position, and the estimate of when it reaches positions that it lacks. */
     CatchUpEstimate catchUp;
-    /** Smoothed times of reads that any server of the group may run, over the group's. */
+    /**
+     * Smoothed latency of reads that any server of the group may run, relative to the group's
+     * latency.
+     */
     double slowness = 1;
     TimePoint slownessAt{};
 
-    /** @return whether a statement has succeeded there. */
+    /** @return whether a statement has succeeded on the server. */
     bool hasAnswered() const { return latencyAt != TimePoint{}; }
 };
 
--- a/src/pooling/ServiceCatalog.h
+++ b/src/pooling/ServiceCatalog.h
@@ -1,4 +1,4 @@
-/** Services by the database name that their callers ask for, resolved from the settings tree. */
+/** Services by the database name that callers connect to, resolved from the settings tree. */
 #pragma once
 
 #include <map>
@@ -16,11 +16,11 @@
     settings::ServiceSettings settings;
 };
 
-/** All services of the estate. Immutable; shared. */
+/** All services in the settings. Immutable; shared. */
 struct ServiceCatalog {
     std::map<ServiceName, CatalogEntry> services;
     std::map<GroupName, settings::GroupSettings> groups;
-    /** Version of the settings that it was made from. */
+    /** Version of the settings that the catalog was built from. */
     std::uint64_t version = 0;
 
     /** @return the service's entry, or null. */
--- a/src/pooling/StatementPooler.cpp
+++ b/src/pooling/StatementPooler.cpp
@@ -24,7 +24,7 @@
     settle();
 }
 
-/** Puts in force who takes turns in each group's queue. */
+/** Applies the fair-queueing settings of each group's queue. */
 void StatementPooler::setTurns() {
     for (const auto& [name, settings] : _catalog->groups) {
         GroupState& group = groupNamed(name);
@@ -46,7 +46,7 @@
     }
 }
 
-/** Only groups whose executors have changed are looked at, but for the first time. */
+/** Only groups whose executors have changed are reviewed, except on the first call. */
 void StatementPooler::applyNodes(const std::vector<ProxyNode>& nodes) {
     const std::vector<GroupName> changed = _placement.applyNodes(nodes);
     if (!std::exchange(_nodesKnown, true)) {
@@ -64,8 +64,9 @@
 }
 
 /**
- * A server of which nothing is known yet gets this node's share of what it bears: after a restart
- * of all nodes it is asked by all of its executors at once. The limit grows with its answers.
+ * The first limit for a server without observations is this node's share of its capacity, because
+ * after a restart of all nodes all executors send to the server at once. The limit grows with the
+ * server's responses.
  */
 double StatementPooler::firstLimit(const GroupName& group, const ServerState& server) const {
     const double bears = server.slots * _knobs.inflightPerSlot;
@@ -132,8 +133,10 @@
     settle();
 }
 
-/** A proof holds for each group whose record it shows as the newest one known, whenever it is
- * taken. */
+/**
+ * A proof holds for each group whose record it shows as the newest known one, whenever it is
+ * applied.
+ */
 void StatementPooler::takeNewestProof(GroupState& group) {
     if (group.proofTaken != _lastProof) {
         group.proofTaken = _lastProof;
@@ -286,8 +289,10 @@
     _settling = false;
 }
 
-/** A group that its own dispatch marks again is left for the next event: a server that refuses at
- * once can't hold the loop. */
+/**
+ * A group that its own dispatch marks again is left for the next event, so that a server that
+ * refuses immediately can't block the loop.
+ */
 void StatementPooler::dispatchDirty() {
     for (auto next = _dirtyGroups.begin(); next != _dirtyGroups.end();) {
         GroupState* group = *next;
@@ -305,7 +310,7 @@
         _output.reply(pending.session, std::move(pending.result));
     }
     if (!_replies.empty()) {
-        // A session is closed after the answers to all that it has sent.
+        // A session is closed after the replies to all statements that it has sent.
         return;
     }
     std::vector<SessionId> closing;
@@ -368,7 +373,7 @@
 
 }  // namespace
 
-/** An answer that came after the service's objective: where the time went. */
+/** Logs where the time was spent when a response missed the service's latency objective. */
 void StatementPooler::logSlow(const PooledSession& session) {
     const Operation& operation = *session.operation;
     const TimePoint now = _clock.now();
--- a/src/pooling/StatementPooler.h
+++ b/src/pooling/StatementPooler.h
@@ -47,160 +47,192 @@
 
 namespace coralhoist::pooling {
 
-/** Where the pooler's decisions go. */
+/** Receives the decisions of the pooler. */
 class PoolerOutput {
 public:
     virtual ~PoolerOutput() = default;
 
-    /** The session's statement has ended. Exactly one call for each submit. */
+    /** The session's statement has ended. Called exactly once for each submit. */
     virtual void reply(SessionId session, StatementResult result) = 0;
 
-    /** The session is to be closed: its service is gone or the process stops. */
+    /** The session is to be closed: its service was removed or the process is stopping. */
     virtual void closeSession(SessionId session) = 0;
 
-    /** Reads wait for proof that the group's primary still leads; asked again until it comes. */
+    /**
+     * Reads wait for proof that the group's primary still leads; called repeatedly until the proof
+     * arrives.
+     */
     virtual void wantLeadershipProof(const GroupName& group) = 0;
 
-    /** A primary shows signs of failure. Called often while it does. */
+    /** A primary shows signs of failure. Called repeatedly while it does. */
     virtual void suspectPrimary(const GroupName& group, const ServerName& server,
                                 SuspicionReason reason) = 0;
 
-    /** Servers' answers have changed which server is taken for the group's primary, or its term. */
+    /**
+     * Responses of servers have changed which server is taken to be the group's primary, or its
+     * term.
+     */
     virtual void primaryChanged(const GroupName& /*group*/) {}
 };
 
 /**
- * The pooler of one process. Single-threaded, no method blocks.
- *
- * Invariants: each submit gets exactly one reply; a statement runs only on a connection with
+ * The pooler of one process. Single-threaded; no method blocks.
+ * | Invariants: each submit gets exactly one reply; a statement runs only on a connection with
  * exactly the session's values; a transaction keeps one connection from its first statement to its
  * end; a write or COMMIT is sent at most once; a refusal that promises "not run" is given only
- * before a write was sent or after the server itself said so.
+ * before a write was sent or after the server itself reported it.
  */
 class StatementPooler final : public ServerEvents,
                               public UnitEvents,
                               public LoadReportEvents,
                               private ConnectionOwner {
 public:
-    /** References outlive the pooler. */
+    /** The references must outlive the pooler. */
     StatementPooler(const Clock& clock, ServerConnector& connector, PoolerOutput& output,
                     PoolerKnobs knobs);
 
     /** Replaces services and groups. */
     void applyCatalog(std::shared_ptr<const ServiceCatalog> catalog);
 
-    /** Takes the nodes among which executors are chosen. */
+    /** Sets the nodes among which executors are chosen. */
     void applyNodes(const std::vector<ProxyNode>& nodes);
 
-    /** Forwards from now on what other nodes execute. @param forwarder outlives the pooler. */
+    /**
+     * From now on forwards statements that other nodes execute. @param forwarder must outlive the
+     * pooler.
+     */
     void setForwarder(UnitForwarder& forwarder) { _forwarder = &forwarder; }
 
-    /** Tells other executors of crowded groups from now on. @param reporter outlives the pooler. */
+    /**
+     * From now on sends load reports of overloaded groups to the other executors.
+     * @param reporter must outlive the pooler.
+     */
     void setLoadReporter(LoadReporter& reporter) { _loadReporter = &reporter; }
 
-    /** Asks the policy from now on where units may go. @param policy outlives the pooler. */
+    /**
+     * From now on queries the policy where units may be sent. @param policy must outlive the
+     * pooler.
+     */
     void setPlacementPolicy(PlacementPolicy& policy) { _policy = &policy; }
 
-    /** Prefers what is near from now on. @param distances outlive the pooler. */
+    /** From now on prefers nearby servers and nodes. @param distances must outlive the pooler. */
     void setRegions(const locality::RegionMap& regions, const locality::PlaceDistances& distances);
 
     /**
-     * Verdicts of the policy have changed: transactions that rest where they must not go on are
-     * ended, and what waits is looked at again.
+     * To be called when verdicts of the policy have changed: ends idle transactions that are no
+     * longer permitted where they are open, and reviews queued statements.
      */
     void reviewPlacement();
 
-    /** The server takes work again as if it had just started: what this node has in flight there
-     * begins at one statement, and grows with its answers. */
+    /**
+     * The server accepts work again as if it had just started: the in-flight limit of this node
+     * restarts at one statement and grows with the server's responses.
+     */
     void admitAnew(const GroupName& group, const ServerName& server);
 
     /** @return whether this node executes the group's statements. */
     bool executesHere(const GroupName& group) const;
 
-    /** Takes the most connections that this process may hold to one server. */
+    /** Sets the maximum number of connections from this process to one server. */
     void setConnectionBound(std::uint32_t connections) {
         _knobs.connectionsPerServer = connections;
     }
 
-    /** Takes the current announcements of all servers. */
+    /** Applies the current announcements of all servers. */
     void applyDirectory(const ServerDirectory& directory);
 
-    /** Takes the current announcements of one group's servers. */
+    /** Applies the current announcements of one group's servers. */
     void applyServers(const GroupName& group, const ServerDirectory::Servers& listed);
 
-    /** Takes the store's record of a group's promotions. */
+    /** Applies the store's record of a group's promotions. */
     void applyNotice(const GroupName& group, const PromotionNotice& notice);
 
-    /** Takes a proof for all groups; a group whose statements wait is confirmed at once, any other
-     * one when it is needed. */
+    /**
+     * Applies a proof of leadership for all groups; a group with queued statements is confirmed at
+     * once, any other group when it needs the proof.
+     */
     void applyProof(const LeadershipProof& proof);
 
-    /** The group's primary, as taken now, was proven to lead at a moment not before askedAt. */
+    /** The group's current primary was proven to lead at a time not before askedAt. */
     void confirmLeadership(const GroupName& group, TimePoint askedAt);
 
-    /** @return whether there is such a service. */
+    /** @return whether the service exists. */
     bool hasService(const ServiceName& service) const;
 
-    /** @return all services, as they are in force. */
+    /** @return all services that are currently in force. */
     std::shared_ptr<const ServiceCatalog> catalog() const { return _catalog; }
 
-    /** Opens a session of a service that exists. @param tenant empty for none. */
+    /** Opens a session of an existing service. @param tenant empty for none. */
     SessionId openSession(const ServiceName& service, const TenantName& tenant = {});
 
-    /** The session's statements run on behalf of this tenant from now on; outside transactions. */
+    /**
+     * Sets the tenant on whose behalf the session's statements run from now on; must not be called
+     * inside a transaction.
+     */
     void setTenant(SessionId session, const TenantName& tenant);
 
     /**
-     * Ends a statement that must not run, without running it. An open transaction is rolled back,
-     * which the caller ends, unless the statement was its end.
+     * Ends a statement that must not run, without running it. An open transaction is rolled back
+     * and the caller has to end it, unless the statement itself was to end it.
      */
     void refuse(SessionId session, const Statement& statement, StatementError error);
 
-    /** A statement of the session has come and is submitted later: the session is not idle. */
+    /**
+     * A statement of the session has arrived and will be submitted later: the session is not idle.
+     */
     void expectStatement(SessionId session);
 
-    /** Callers come as tenants: connections that belong to none serve nobody. */
+    /**
+     * Sets whether callers have tenants; if so, connections without a tenant serve no statements.
+     */
     void setCallersHaveTenants(bool haveTenants);
 
     /** Opens a session for a unit of work that another node forwards. */
     SessionId openUnit(const UnitOpening& opening);
 
-    /** Runs a statement of a forwarded unit that waits for none. */
+    /** Runs a statement of a forwarded unit that has no statement in progress. */
     void submitUnit(SessionId session, UnitStatement statement);
 
-    /** @return the position that covers the session's own commits. */
+    /** @return the log position that covers the session's own commits. */
     OpTime ownFloorOf(SessionId session) const;
 
-    /** Runs a statement of a session that waits for none. */
+    /** Runs a statement of a session that has no statement in progress. */
     void submit(SessionId session, Statement statement);
 
-    /** The caller is gone: its transaction is rolled back; no reply follows. */
+    /** The caller has disconnected: its transaction is rolled back; no reply follows. */
     void endSession(SessionId session);
 
-    /** @return the transaction state of a session; Idle when there is none. */
+    /** @return the transaction state of a session; Idle if the session does not exist. */
     SessionState stateOfSession(SessionId session) const;
 
-    /** Closes sessions outside transactions that have been idle for the time given. */
+    /** Closes sessions outside transactions that have been idle for the given time. */
     void closeIdleSessions(Duration idleFor);
 
     /**
-     * Begins nothing new from now on: what comes outside a transaction is refused as not run and
-     * its session closed. Transactions that rest are rolled back; call it again while any is open.
+     * Begins no new work from now on: a statement outside a transaction is refused as not run and
+     * its session is closed. Idle transactions are rolled back; call this again while any
+     * transaction is open.
      */
     void finishWork();
 
-    /** @return whether nothing new is begun. */
+    /** @return whether the pooler begins no new work. */
     bool isStopping() const { return _stopping; }
 
-    /** Gives each statement that is left its answer, by what is known of it, and closes all. */
+    /**
+     * Replies to each remaining statement with what is known of its outcome, and closes all
+     * sessions.
+     */
     void answerAll();
 
     std::size_t sessionCount() const { return _sessions.size(); }
 
-    /** @return groups that every round looks at: those in use here, and those executed here. */
+    /**
+     * @return the number of groups visited in every round: those in use by this node and those that
+     * it executes.
+     */
     std::size_t activeGroups() const { return _activeGroups.size(); }
 
-    /** @return how many statements wait here for a server, by rank. */
+    /** @return the number of statements queued on this node, by rank. */
     std::array<std::size_t, settings::kAdmissionRanks> waitingByRank() const;
 
     void onOpened(ConnectionId connection, OpTime position) override;
@@ -220,20 +252,20 @@
     /** @return when onTick must be called next. */
     std::optional<TimePoint> nextTick() const;
 
-    /** @return the primary of a group as taken now. */
+    /** @return the current primary of a group. */
     std::optional<Primary> primaryOf(const GroupName& group) const;
 
-    /** @return what this node has at the servers of each zone. */
+    /** @return the load of this node on the servers of each zone. */
     std::map<ZoneName, ZoneLoad> loadByZone() const;
 
     const PoolerStatistics& statistics() const { return _statistics; }
 
 private:
-    /** What is known of a group, and the statements that wait for one of its servers. */
+    /** State of a group, and the statements that wait for one of its servers. */
     struct GroupState {
         GroupName name;
         LeadershipTracker leadership;
-        /** Number of the newest proof that `leadership` has taken. */
+        /** Number of the newest proof that was applied to `leadership`. */
         std::uint64_t proofTaken = 0;
         FreshnessFloors floors;
         SlotTimeEstimates slotTimes;
@@ -241,15 +273,15 @@
         std::map<ServerName, ServerState> servers;
         OutlierDetector outliers;
         admission::WaitingQueue waiting;
-        /** Services take turns within a rank where callers have no tenants. */
+        /** Services are scheduled fairly within a rank where callers have no tenants. */
         bool fairServices = false;
         CapacityShares shares;
-        /** Earliest time at which the next beginning of shares is logged. */
+        /** Earliest time at which the next start of sharing is logged. */
         TimePoint nextShareLog{};
-        /** Whether the beginning of the present shares was logged; if so, their end is too. */
+        /** Whether the start of the current sharing was logged; if so, its end is logged too. */
         bool sharesLogged = false;
         admission::AdmissionPolicy admission;
-        /** Latency of a server above which less is sent to it. */
+        /** Server latency above which fewer statements are sent to the server. */
         Duration latencyTarget = std::chrono::milliseconds(100);
         PrimaryWatch primaryWatch;
     };
@@ -258,35 +290,35 @@
             return left->name < right->name;
         }
     };
-    /** Groups in the order of their names. */
+    /** Groups ordered by name. */
     using GroupSet = std::set<GroupState*, ByName>;
-    /** A moment at which a session's statement must be looked at. */
+    /** Time at which a session's statement must be reviewed. */
     struct Wake {
         TimePoint at;
         SessionId session;
         std::uint64_t serial = 0;
         bool operator>(const Wake& other) const { return at > other.at; }
     };
-    /** What a queued statement needs of a server. */
+    /** What a queued statement requires of a server. */
     struct Requirement {
         bool primary = false;
         std::optional<OpTime> floor;
-        /** When the log is known to have had the floor. */
+        /** Time at which the log is known to have reached the floor. */
         TimePoint reachedAt{};
-        /** Nothing can serve it now. */
+        /** No server can run the statement now. */
         bool impossible = false;
     };
-    /** What the policy leaves of the servers that a unit could use. */
+    /** Which of the servers that could run a unit are permitted by the policy. */
     struct PlacementOutlook {
-        /** Some server may be used as soon as it has room. */
+        /** At least one server may be used as soon as it has capacity. */
         bool anyAllowed = false;
-        /** Expected time until one may be used, while none may be. */
+        /** Expected time until one may be used, if none may be used now. */
         std::optional<Duration> soonest;
-        /** Why not now; null where the policy rules no server out. */
+        /** Why none may be used now; null if the policy excludes no server. */
         const char* reason = nullptr;
 
         void note(const PlacementVerdict& verdict);
-        /** @return whether the policy alone keeps the unit from being sent now. */
+        /** @return whether only the policy prevents the unit from being sent now. */
         bool rulesOutAll() const { return !anyAllowed && reason != nullptr; }
     };
     struct PendingReply {
@@ -294,7 +326,7 @@
         StatementResult result;
     };
 
-    // PoolerStatements.cpp: what callers ask.
+    // PoolerStatements.cpp: statements of callers.
     void beginTransaction(PooledSession& session, const Statement& statement);
     void startTransaction(PooledSession& session, const Statement& begin);
     void setValue(PooledSession& session, const Statement& statement);
@@ -313,7 +345,7 @@
     void finishOperation(PooledSession& session, StatementResult result);
     SessionState stateOf(const PooledSession& session) const;
 
-    // PoolerQueue.cpp: statements that wait, and what each needs of a server.
+    // PoolerQueue.cpp: queued statements, and what each requires of a server.
     void enqueue(PooledSession& session);
     void dispatch(GroupState& group);
     static UnitKind unitKindOf(const PooledSession& session);
@@ -331,7 +363,7 @@
     const char* obstacleHere(const GroupState& group, const Operation& operation) const;
     bool moveToOther(const GroupState& group, PooledSession& session);
 
-    // PoolerAdmission.cpp: until when a statement is held, and when its caller returns.
+    // PoolerAdmission.cpp: how long a statement is held, and when its caller should retry.
     void setTimes(PooledSession& session);
     TimePoint latestStart(const PooledSession& session);
     static void noteAsked(PooledSession& session, const StatementResult& result);
@@ -375,7 +407,7 @@
     std::uint32_t connectionLimit(const GroupName& group) const;
     OpeningTerms openingTerms(const ServerState& server) const;
 
-    // PoolerShares.cpp: what the executors of a group leave to each other.
+    // PoolerShares.cpp: how the executors of a group share server capacity.
     SharedServer sharedServer(const ServerState& server) const;
     bool isWithinShare(const ServerState& server, std::uint32_t inflight) const;
     void noteNoRoom(GroupState& group, const PooledSession& session);
@@ -394,7 +426,7 @@
     void noteIfLost(const GroupName& group, const ServerName& name);
     ServerCommand callerCommand(const PooledSession& session) const;
 
-    // PoolerResults.cpp: what servers answer.
+    // PoolerResults.cpp: handling of servers' responses.
     void onBeginResult(ServerConnection& connection, PooledSession& session,
                        const StatementResult& result);
     void onStatementResult(ServerConnection& connection, PooledSession& session,
@@ -430,13 +462,13 @@
     bool keepsWarm(const GroupName& group) const;
     void releaseUnused(GroupState& group);
 
-    // PoolerCommits.cpp: what successes prove.
+    // PoolerCommits.cpp: what successful statements prove.
     static bool commitsChanges(const PooledSession& session);
     bool isCommitInDoubt(const PooledSession& session, const StatementResult& result) const;
     bool replicatesSynchronously(const GroupName& group) const;
     void noteFreshness(PooledSession& session, const StatementResult& result);
 
-    // PoolerForwarding.cpp: what other nodes execute.
+    // PoolerForwarding.cpp: units that other nodes execute.
     bool forward(PooledSession& session);
     bool forwardToOther(PooledSession& session);
     std::optional<NodeName> chooseExecutor(const PooledSession& session) const;
@@ -448,7 +480,7 @@
     void reviewForwarded(PooledSession& session, TimePoint now);
     void endUnit(std::optional<UnitId>& unit);
 
-    // PoolerStop.cpp: what a planned stop, or the end of its time, makes of a statement.
+    // PoolerStop.cpp: how statements end in a planned stop, or when its time is over.
     void refuseAsStopping(PooledSession& session);
     void giveUp(PooledSession& session, const char* reason);
     void giveUpQueued(PooledSession& session, const char* reason);
@@ -493,10 +525,13 @@
     PoolerKnobs _knobs;
     std::shared_ptr<const ServiceCatalog> _catalog;
     std::map<GroupName, GroupState> _groups;
-    /** Groups whose waiting statements are to be looked at. */
+    /** Groups whose queued statements are to be reviewed. */
     GroupSet _dirtyGroups;
-    /** Groups with statements, connections or a decision that time may change; the others need no
-     * round, so that a round costs what this node does and not what the estate holds. */
+    /**
+     * Groups with statements, connections or a decision that depends on time. Rounds skip all other
+     * groups, so that the cost of a round depends on the work of this node and not on the number of
+     * groups.
+     */
     GroupSet _activeGroups;
     std::optional<LeadershipProof> _newestProof;
     std::uint64_t _lastProof = 0;
@@ -509,13 +544,13 @@
     PoolerStatistics _statistics;
     ServerConnections _connections;
     ExecutorPlacement _placement;
-    /** Null where there is one region. */
+    /** Null if there is only one region. */
     const locality::PlaceDistances* _distances = nullptr;
     UnitForwarder* _forwarder = nullptr;
     LoadReporter* _loadReporter = nullptr;
-    /** None: units may go everywhere. */
+    /** Null: units may be sent everywhere. */
     PlacementPolicy* _policy = nullptr;
-    /** The other nodes are known; before, this one alone seems to execute everything. */
+    /** The other nodes are known; before that, this node appears to be the only executor. */
     bool _nodesKnown = false;
     bool _callersHaveTenants = false;
     std::unordered_map<UnitId, SessionId> _units;
--- a/src/pooling/TenantActivity.h
+++ b/src/pooling/TenantActivity.h
@@ -9,7 +9,7 @@
 
 namespace coralhoist::pooling {
 
-/** Counts that fade: a tenant's activity is its number of recent statements. */
+/** Exponentially decaying counts: a tenant's activity is the number of its recent statements. */
 class TenantActivity {
 public:
     void note(const TenantName& tenant, TimePoint now) {
@@ -18,7 +18,7 @@
         count.at = now;
     }
 
-    /** @return the activity now; 0 for a tenant never seen. */
+    /** @return the current activity; 0 for an unknown tenant. */
     double of(const TenantName& tenant, TimePoint now) const {
         const auto found = _counts.find(tenant);
         return found == _counts.end() ? 0 : faded(found->second, now);
@@ -30,7 +30,7 @@
         TimePoint at{};
     };
 
-    /** A statement counts for about so long. */
+    /** Time constant of the decay of the counts. */
     static constexpr Duration kMemory = std::chrono::seconds(5);
 
     static double faded(const Count& count, TimePoint now) {
--- a/src/pooling/UnitForwarding.h
+++ b/src/pooling/UnitForwarding.h
@@ -1,7 +1,7 @@
 /**
- * Units of work that one node takes from its callers and another one executes. A unit is a single
- * statement or one transaction; the session stays at the node that its caller is connected to, so
- * that nothing but units in flight depends on an executing node.
+ * Forwarding of units of work from the node that receives them to the node that executes them. A
+ * unit is a single statement or one transaction; the session stays on the node that its caller is
+ * connected to, so that only units in flight depend on an executing node.
  */
 #pragma once
 
@@ -15,45 +15,45 @@
 
 namespace coralhoist::pooling {
 
-/** What the executing node is told of the session when a unit begins. */
+/** Session state that is sent to the executing node when a unit begins. */
 struct UnitOpening {
     ServiceName service;
     GroupName group;
-    /** On whose behalf it runs; empty for none. */
+    /** Tenant on whose behalf the unit runs; empty for none. */
     TenantName tenant;
-    /** Settings by which the unit is decided, as the forwarding node knows them. */
+    /** Settings that apply to the unit, as the forwarding node knows them. */
     settings::ServiceSettings settings;
-    /** Time since the caller first asked for it, refusals and pauses included. */
+    /** Time since the caller first sent the unit, including refusals and pauses. */
     Duration waited{0};
-    /** Time for which an answer is still of use to the caller. */
+    /** Time for which a response is still useful to the caller. */
     std::optional<Duration> usefulFor = std::nullopt;
-    /** Position of the log that has all commits of the session. */
+    /** Log position that covers all commits of the session. */
     OpTime ownFloor;
-    /** BEGIN when the unit is a transaction. */
+    /** BEGIN if the unit is a transaction. */
     std::optional<Statement> begin;
 };
 
-/** One statement of a unit, with the state of the session that it must find. */
+/** One statement of a unit, with the session state that it requires. */
 struct UnitStatement {
     Statement statement;
     SessionValues values;
-    /** What a prepared name stands for, when the statement executes one. */
+    /** The shape of the prepared name, if the statement executes one. */
     std::optional<PreparedShape> shape;
 };
 
-/** How a statement of a unit ended. */
+/** Outcome of a statement of a unit. */
 struct UnitResult {
     StatementResult result;
     OpTime ownFloor;
 };
 
-/** What is known of a unit whose answer will not come. */
+/** What is known of a unit whose response will not arrive. */
 enum class UnitLoss {
-    NotTaken,   /**< Nothing of it was done. */
-    Unanswered, /**< It may have been executed. */
+    NotTaken,   /**< The unit was not executed at all. */
+    Unanswered, /**< The unit may have been executed. */
 };
 
-/** Receives what becomes of forwarded units. */
+/** Receives the events of forwarded units. */
 class UnitEvents {
 public:
     virtual ~UnitEvents() = default;
@@ -61,16 +61,19 @@
     /** The unit's statement has ended. */
     virtual void onUnitResult(UnitId unit, UnitResult result) = 0;
 
-    /** The unit is gone. What it left open at the executing node is rolled back. */
+    /**
+     * The unit no longer exists. A transaction that it left open on the executing node is rolled
+     * back.
+     */
     virtual void onUnitLost(UnitId unit, UnitLoss loss) = 0;
 };
 
-/** Passes units to other nodes. No call delivers an event before it returns. */
+/** Forwards units to other nodes. No call delivers an event before it returns. */
 class UnitForwarder {
 public:
     virtual ~UnitForwarder() = default;
 
-    /** @return whether the node seems to take units now. */
+    /** @return whether the node appears to accept units now. */
     virtual bool canReach(const NodeName& node) const = 0;
 
     /** Sends a unit's first statement. */
@@ -80,7 +83,10 @@
     /** Sends a further statement of an open transaction. */
     virtual void submit(UnitId unit, const UnitStatement& statement) = 0;
 
-    /** Gives the unit up: what it left open is rolled back. No event for it follows. */
+    /**
+     * Abandons the unit: a transaction that it left open is rolled back. No event for the unit
+     * follows.
+     */
     virtual void end(UnitId unit) = 0;
 };
 
