--- a/src/pooling/PlannedStop.h
+++ b/src/pooling/PlannedStop.h
@@ -23,7 +23,7 @@
      */
     virtual void passOnWaiting() = 0;
 
-    /** @return connections of callers and units of other nodes that are open. */
+    /** @return the number of open connections of callers and open units of other nodes. */
     virtual std::size_t openCount() const = 0;
 };
 
--- a/src/pooling/PoolerDispatch.cpp
+++ b/src/pooling/PoolerDispatch.cpp
@@ -196,7 +196,10 @@
     return {_distances == nullptr ? Duration(0) : _distances->to(server.zone, _clock.now()).time};
 }
 
-/** @return the number of statements that may be in flight to keep the server fully used. */
+/**
+ * @return the maximum number of statements in flight that the server's capacity allows, including
+ * those in transit.
+ */
 double StatementPooler::takenBy(const ServerState& server) const {
     return server.slots * _knobs.inflightPerSlot * wayTo(server).inflightPerRunning(server.latency);
 }
--- a/src/pooling/PoolerQueue.cpp
+++ b/src/pooling/PoolerQueue.cpp
@@ -102,7 +102,7 @@
            session.transaction.phase != TransactionPhase::Open;
 }
 
-/** @return whether the statement is no longer queued: it was sent, or refused. */
+/** @return whether the statement is no longer queued: it was sent, forwarded or refused. */
 bool StatementPooler::place(GroupState& group, PooledSession& session) {
     Operation& operation = *session.operation;
     if (_clock.now() < operation.notBefore) {
--- a/src/pooling/StatementPooler.cpp
+++ b/src/pooling/StatementPooler.cpp
@@ -24,7 +24,7 @@
     settle();
 }
 
-/** Applies the fair-queueing settings of each group's queue. */
+/** Applies each group's settings for minimum shares and fair queueing. */
 void StatementPooler::setTurns() {
     for (const auto& [name, settings] : _catalog->groups) {
         GroupState& group = groupNamed(name);
--- a/tests/pooling/AdmissionTest.cpp
+++ b/tests/pooling/AdmissionTest.cpp
@@ -1,4 +1,4 @@
-/** Until when statements are held, and how returns after a refusal are queued. */
+/** How long statements are held, and how retries after a refusal are queued. */
 #include <CppUTest/TestHarness.h>
 
 #include "PoolerFixture.h"
@@ -8,7 +8,7 @@
 
 using std::chrono::milliseconds;
 
-/** Of the fixture's 800 ms, with the time left that a statement takes. */
+/** Holding time: the fixture's timeout of 800 ms less the time that a statement takes. */
 constexpr Duration kHeld = milliseconds(785);
 
 }  // namespace
@@ -21,7 +21,10 @@
         fixture.submit(session, StatementVerb::Read, text);
         return session;
     }
-    /** Submits a read of a unit whose caller first asked 400 ms ago at the node that forwards. */
+    /**
+     * Submits a read of a unit whose caller sent the first request 400 ms ago at the forwarding
+     * node.
+     */
     void readForwarded(Duration timeout, std::optional<Duration> usefulFor) {
         UnitOpening opening;
         opening.service = ServiceName("current");
@@ -36,7 +39,9 @@
         statement.statement.text = "READ 1";
         fixture.pooler.submitUnit(unit, statement);
     }
-    /** No read can be served for want of a proof of leadership. */
+    /**
+     * Submits a read that is refused, because no read can be served without a proof of leadership.
+     */
     SessionId readInVain() {
         fixture.advance(milliseconds(600));
         const SessionId session = read();
@@ -44,7 +49,7 @@
         UNSIGNED_LONGS_EQUAL(1, fixture.replies.size());
         return session;
     }
-    /** The session asks; @return the time until it is refused. */
+    /** Submits a read of the session. @return the time until it is refused. */
     Duration heldAgain(SessionId session, const char* text) {
         const std::size_t before = fixture.replies.size();
         fixture.submit(session, StatementVerb::Read, text);
@@ -60,7 +65,7 @@
 TEST(Admission, AReturnHasWhatIsLeftOfItsTime) {
     const SessionId session = readInVain();
     fixture.advance(milliseconds(10));
-    // Until 10% beyond the timeout, with the time left that a statement takes.
+    // Held until 10% beyond the timeout, less the time that a statement takes.
     CHECK_TRUE(heldAgain(session, "READ 1") <= milliseconds(70));
     UNSIGNED_LONGS_EQUAL(1, fixture.pooler.statistics().returnsInTurn);
 }
@@ -95,7 +100,10 @@
     UNSIGNED_LONGS_EQUAL(1, fixture.replies.size());
 }
 
-/** What was lost at another executor is told once: as less time, not as less time and as waited. */
+/**
+ * The time spent at another executor is counted once: it shortens the useful time and is not
+ * counted as waiting time too.
+ */
 TEST(Admission, AUnitThatComesFromAnotherExecutorHasTheTimeThatIsLeft) {
     fixture.advance(milliseconds(600));
     readForwarded(milliseconds(380), milliseconds(380));
--- a/tests/pooling/ForwardingTest.cpp
+++ b/tests/pooling/ForwardingTest.cpp
@@ -274,7 +274,7 @@
     UNSIGNED_LONGS_EQUAL(0, fixture.pendingCount());
 }
 
-/** This node executes; another one does so as well. */
+/** This node and one other node are executors. */
 TEST_GROUP(ForwardingOfExecutors) {
     PoolerFixture fixture;
     ScriptedForwarder forwarder;
@@ -304,7 +304,10 @@
     }
 };
 
-/** Found on dk-booking, trouble-1: 2 s after a restart a node had no connection to the primary. */
+/**
+ * A node that the primary still refuses 2 s after a restart must not hold the statements that need
+ * the primary.
+ */
 TEST(ForwardingOfExecutors, WhatNeedsAPrimaryThatRefusesConnectionsGoesToAnotherNode) {
     losePrimaryConnections();
     refuseConnections(StatementFault::ConnectionLimit);
--- a/tests/pooling/HomeRegionsTest.cpp
+++ b/tests/pooling/HomeRegionsTest.cpp
@@ -1,5 +1,7 @@
-/** Every way in which a bound statement could leave its home regions. The fixture's node and the
- * primary s1 stand in the north, the replicas s2 and s3 in the south. */
+/**
+ * Tests every path on which a statement bound to home regions could leave them. The fixture's node
+ * and the primary s1 are in the north, the replicas s2 and s3 in the south.
+ */
 #include <CppUTest/TestHarness.h>
 
 #include <algorithm>
@@ -32,7 +34,7 @@
     return result;
 }
 
-/** A pooler whose services and tenant get homes while it runs. */
+/** A pooler whose services and tenant are assigned home regions while it runs. */
 struct Homes {
     PoolerFixture pooled;
     placement::HomePolicy policy{pooled.clock, makeRegions(),
@@ -41,13 +43,13 @@
                                  }};
     std::vector<RegionName> tenantHomes;
 
-    /** Replicas serve reads only after a position that they must have is known. */
+    /** Replicas serve reads only after a position that they must have reached is known. */
     Homes() {
         pooled.submit(pooled.session("current"), StatementVerb::Write, "WRITE 0 z");
         pooled.succeed({1, 50});
     }
 
-    /** Puts homes of all services in force, as changed settings do. */
+    /** Applies home regions to all services, as a change of settings does. */
     void bind(const std::vector<RegionName>& homes) {
         ServiceCatalog catalog;
         for (const char* service : {"current", "bounded", "own"}) {
@@ -74,7 +76,9 @@
     void checkMessage(const char* message) const {
         STRCMP_EQUAL(message, pooled.replies.back().result.error->message.c_str());
     }
-    /** @return whether the server in the north was left alone since homes are in force. */
+    /**
+     * @return whether no command was sent to the server in the north since the homes were applied.
+     */
     bool northLeftAlone() { return pooled.connector.reached[kNorthServer] == _reachedNorth; }
 
 private:
@@ -87,7 +91,7 @@
     Homes homes;
     PoolerFixture& fixture = homes.pooled;
 
-    /** @return a session whose transaction is open at the primary. */
+    /** @return a session whose transaction is open on the primary. */
     SessionId openTransaction() {
         const SessionId session = fixture.session("current");
         fixture.submit(session, StatementVerb::Begin, "BEGIN");
@@ -259,7 +263,7 @@
     homes.checkFault(StatementFault::Busy);
 }
 
-/** This node executes nothing; ten nodes stand in each of a northern and a southern zone. */
+/** This node executes nothing; a northern and a southern zone have ten nodes each. */
 TEST_GROUP(HomesAtNodes) {
     Homes homes;
     PoolerFixture& fixture = homes.pooled;
--- a/tests/pooling/LateAnswerTest.cpp
+++ b/tests/pooling/LateAnswerTest.cpp
@@ -1,4 +1,4 @@
-/** Answers that arrive after the proxy has learned of a promotion. */
+/** Responses that arrive after the proxy has learned of a promotion. */
 #include <CppUTest/TestHarness.h>
 
 #include "PoolerFixture.h"
@@ -24,7 +24,7 @@
         fixture.pooler.applyNotice(fixture.group, notice);
     }
 
-    /** The server is announced, then the promotion is closed. */
+    /** Records the announcement of the successor, then the completion of the promotion. */
     void promote(const std::string& successor, Term term) {
         record(PromotionPhase::Promoting, successor, term);
         fixture.clock.advance(kLeadershipLease);
@@ -77,7 +77,7 @@
     record(PromotionPhase::None, "s2", 2, {1, 100});
     fixture.submit(fixture.session("current"), StatementVerb::Write, "WRITE 1 a");
     STRCMP_EQUAL("s2", fixture.pending().server.value().c_str());
-    // The record may name a term that the platform has not given.
+    // The record may name a term that the platform has not assigned.
     fixture.succeed({1, 101});
     UNSIGNED_LONGS_EQUAL(1, fixture.replies.size());
     CHECK_TRUE(fixture.replies[0].result.succeeded());
@@ -125,7 +125,7 @@
     fixture.submit(session, StatementVerb::Read, "READ 1");
     fixture.succeed({1, 100}, SessionState::InTransaction);
     fixture.succeed({1, 100}, SessionState::InTransaction);
-    // The proof has run out: another server may lead when the next read is sent.
+    // The proof has expired: another server may lead when the next read is sent.
     fixture.clock.advance(milliseconds(700));
     fixture.submit(session, StatementVerb::Read, "READ 2");
     promote("s2", 2);
--- a/tests/pooling/ManyGroupsTest.cpp
+++ b/tests/pooling/ManyGroupsTest.cpp
@@ -1,4 +1,4 @@
-/** What a node does follows the groups that it serves, not those that exist. */
+/** The work of a node depends on the groups that it serves, not on the number of groups. */
 #include <CppUTest/TestHarness.h>
 
 #include <string>
@@ -21,7 +21,7 @@
     return GroupName("estate" + std::to_string(index));
 }
 
-/** Puts further groups beside the fixture's own, each of a primary and two replicas. */
+/** Adds groups to the fixture's own group, each with a primary and two replicas. */
 class Estate {
 public:
     explicit Estate(int groups) : _groups(groups) {
@@ -32,7 +32,7 @@
         fixture.pooler.applyNodes(otherNodes());
     }
 
-    /** Nodes of the own zone: few groups are executed on each of them. */
+    /** Nodes of the own zone: each of them executes only a few groups. */
     static std::vector<ProxyNode> otherNodes() {
         constexpr int kNodes = 200;
         std::vector<ProxyNode> nodes;
@@ -67,7 +67,7 @@
         return count;
     }
 
-    /** @return groups looked at in that time. */
+    /** @return the number of group visits in the given time. */
     std::uint64_t visitsIn(Duration span) {
         const std::uint64_t before = fixture.pooler.statistics().groupsVisited;
         for (Duration passed{0}; passed < span; passed += kRound) {
@@ -120,7 +120,8 @@
     }
 }
 
-/** A group that this node does not execute; its executors are out of reach, so it is served here.
+/**
+ * A group that this node does not execute; its executors are unreachable, so this node serves it.
  */
 TEST_GROUP(GroupAtRest) {
     Estate estate{kFew};
@@ -167,7 +168,7 @@
     CHECK(fixture.proofsWanted > 0);
 }
 
-/** The record may be of a promotion that came after the proof. */
+/** The record may belong to a promotion that came after the proof. */
 TEST(GroupAtRest, AProofServesNoStatementOfAGroupWhoseRecordItDoesNotShow) {
     prove();
     PromotionNotice notice;
--- a/tests/pooling/PlacementPolicyTest.cpp
+++ b/tests/pooling/PlacementPolicyTest.cpp
@@ -1,4 +1,6 @@
-/** The pooler asks a policy where units may go, for each statement that it places or sends. */
+/**
+ * The pooler queries a policy where units may be sent, for each statement that it places or sends.
+ */
 #include <CppUTest/TestHarness.h>
 
 #include <map>
@@ -10,7 +12,7 @@
 
 using std::chrono::milliseconds;
 
-/** Verdicts by server, for units and for what goes on there. */
+/** A policy with one verdict for each server, applied to new units and open transactions. */
 class ScriptedPolicy final : public PlacementPolicy {
 public:
     PlacementVerdict mayBegin(const PlacedUnit& /*unit*/, const PlacedServer& server) override {
@@ -62,7 +64,7 @@
     void write() {
         fixture.submit(fixture.session("current"), StatementVerb::Write, "WRITE 1 a");
     }
-    /** @return a session whose transaction is open at the primary. */
+    /** @return a session whose transaction is open on the primary. */
     SessionId openTransaction() {
         const SessionId session = fixture.session("current");
         fixture.submit(session, StatementVerb::Begin, "BEGIN");
@@ -186,7 +188,7 @@
     LONGS_EQUAL(2, policy.sent[primary]);
 }
 
-/** Its connections are closed for silence; it may start again meanwhile. */
+/** The connections of a silent server are closed; the server may restart in the meantime. */
 TEST(PoolerPlacement, AServerThatGoesSilentIsToldAsLost) {
     const SessionId session = fixture.session("current");
     fixture.submit(session, StatementVerb::Write, "WRITE 1 a");
--- a/tests/pooling/PlannedStopTest.cpp
+++ b/tests/pooling/PlannedStopTest.cpp
@@ -1,10 +1,9 @@
 /**
- * A caller kept its session busy while its node stopped as planned. Shortly before the process
- * ended it sent a read; two servers had no capacity and said so, and while the read waited for its
- * next attempt the process ended: the connection closed, and the caller had no answer at all. What
- * was taken and not sent got no "not run", and what was sent no truthful answer, because the end of
- * the process looked at the time alone. The logs showed the read refused twice by servers, and then
- * the end of the node, late, with one session open.
+ * Guards against statements without a response at the end of a planned stop. A read that two
+ * servers had refused for lack of capacity was waiting for its next attempt when the process
+ * exited, so its connection was closed without a response. The end of the process depended on the
+ * time alone: statements that were received but not sent got no "not run", and statements that were
+ * sent got no reply with their real state.
  */
 #include <CppUTest/TestHarness.h>
 
@@ -23,10 +22,10 @@
 constexpr Duration kStep = milliseconds(50);
 constexpr int kTenths = 10;
 
-/** How servers treat statements from a given moment on. */
+/** Behaviour of the servers from a given time on. */
 enum class Servers { Answer, Shed, Slow, Silent };
 
-/** Connections of callers as a stop sees them. */
+/** The caller connections that a planned stop sees. */
 class OpenSessions final : public StopSurroundings {
 public:
     explicit OpenSessions(const PoolerFixture& fixture) : _fixture(fixture) {}
@@ -47,7 +46,9 @@
     const PoolerFixture& _fixture;
 };
 
-/** A node that stops while one caller sends its next statement as soon as it has an answer. */
+/**
+ * A node that stops while one caller sends its next statement as soon as the last one is answered.
+ */
 class BusyStop {
 public:
     explicit BusyStop(const std::string& service) : _session(fixture.session(service)) {
@@ -55,7 +56,10 @@
         fixture.pooler.confirmLeadership(fixture.group, fixture.clock.now());
     }
 
-    /** Lets the caller send until the process ends. @param change when servers begin to differ. */
+    /**
+     * Lets the caller send until the process ends.
+     * @param change time from which the servers behave as given.
+     */
     void run(StatementVerb verb, Servers servers, Duration change) {
         stop.begin(kGrace);
         for (Duration elapsed{0}; elapsed < kGrace; elapsed += kStep) {
@@ -147,7 +151,7 @@
     checkEachIsAnswered(StatementVerb::Write, Servers::Silent);
 }
 
-/** The last answer is "not run" only where the statement never reached a server. */
+/** The last reply is "not run" only if the statement never reached a server. */
 TEST(PlannedStop, AWriteThatWasSentIsNotCalledNotRun) {
     BusyStop run("current");
     run.run(StatementVerb::Write, Servers::Silent, kGrace * 4 / kTenths);
@@ -164,7 +168,9 @@
     CHECK_TRUE(anyInDoubt);
 }
 
-/** Later than half of the grace nothing new is begun: another node can serve it at once. */
+/**
+ * In the second half of the grace period no new work is begun: another node can serve it at once.
+ */
 TEST(PlannedStop, AStatementNearTheEndIsRefusedAtOnce) {
     PoolerFixture fixture;
     OpenSessions open(fixture);
--- a/tests/pooling/PoolerFixture.h
+++ b/tests/pooling/PoolerFixture.h
@@ -1,4 +1,4 @@
-/** A pooler with a scripted connector, a recorded output and a clock that the test moves. */
+/** A pooler with a scripted connector, recorded output and a manual clock. */
 #pragma once
 
 #include <functional>
@@ -13,14 +13,14 @@
 
 namespace coralhoist::pooling {
 
-/** What was sent to a server and awaits its answer. */
+/** A command that was sent to a server and has no response yet. */
 struct SentCommand {
     ConnectionId connection;
     ServerName server;
     ServerCommand command;
 };
 
-/** Records connections and commands; the test delivers events itself. */
+/** Records connections and commands; the test delivers the events itself. */
 class ScriptedConnector final : public ServerConnector {
 public:
     ConnectionId open(const ServerAddress& address, const TenantName& tenant,
@@ -30,47 +30,47 @@
 
     std::vector<ConnectionId> opening;
     std::vector<SentCommand> sent;
-    /** Commands that were ever sent to each server. */
+    /** Number of commands sent to each server so far. */
     std::map<ServerName, std::size_t> reached;
     std::vector<ConnectionId> closed;
     std::map<ConnectionId, ServerName> serverOf;
     std::map<ConnectionId, TenantName> tenantOf;
 };
 
-/** A reply as the session's caller got it. */
+/** A reply as the session's caller received it. */
 struct RecordedReply {
     SessionId session;
     StatementResult result;
 };
 
-/** Two replicas and a primary of group "g", with the services "current", "bounded" and "own". */
+/** A primary and two replicas of group "g", with the services "current", "bounded" and "own". */
 class PoolerFixture final : public PoolerOutput {
 public:
     PoolerFixture();
 
-    /** Opens all connections that are being opened. */
+    /** Reports all connections that are being opened as open. */
     void openConnections();
     void advance(Duration span);
-    /** Puts the services in force with groupSettings. */
+    /** Applies the services together with groupSettings. */
     void applySettings();
-    /** Announces the servers; the first of the names is the primary. */
+    /** Announces the servers, with the given one as the primary. */
     void announce(const std::string& primary, std::uint64_t version);
 
     SessionId session(const std::string& service);
-    /** Submits a statement with a fresh id. @return the id. */
+    /** Submits a statement with a new id. @return the id. */
     std::string submit(SessionId session, StatementVerb verb, const std::string& text,
                        const std::string& name = {}, const std::string& argument = {},
                        ShapeKind kind = ShapeKind::Read);
 
-    /** Answers the oldest command sent that is not answered yet. */
+    /** Delivers the result of the oldest unanswered command. */
     void answer(StatementResult result);
-    /** Answers it with success. */
+    /** Answers the oldest unanswered command with success. */
     void succeed(OpTime position = {1, 100}, SessionState state = SessionState::Idle);
     void refuse(StatementFault fault, SessionState state = SessionState::Idle);
-    /** Answers it as a command of the proxy's own. */
+    /** Answers the oldest unanswered command, which must be one of the proxy's own commands. */
     void acknowledge(SessionState state = SessionState::Idle);
 
-    /** @return the oldest command sent that is not answered yet. */
+    /** @return the oldest unanswered command. */
     const SentCommand& pending() const { return connector.sent.front(); }
     std::size_t pendingCount() const { return connector.sent.size(); }
 
@@ -90,7 +90,7 @@
     std::vector<SuspicionReason> suspicions;
     std::size_t proofsWanted = 0;
     settings::GroupSettings groupSettings;
-    /** Called within each reply, once, when set. */
+    /** If set, called once, within the next reply. */
     std::function<void()> withinReply;
 
 private:
--- a/tests/pooling/PoolerTest.cpp
+++ b/tests/pooling/PoolerTest.cpp
@@ -20,7 +20,7 @@
         return fixture.submit(fixture.session(service), StatementVerb::Write, "WRITE 1 a");
     }
 
-    /** A write of "own" has been seen to take ten times as long as one of "bounded". */
+    /** Lets a write of "own" take ten times as long as one of "bounded". */
     void observeSlotTimes() {
         write("own");
         fixture.clock.advance(milliseconds(40));
@@ -71,7 +71,7 @@
     fixture.advance(milliseconds(600));
     const SessionId session = fixture.session("current");
     fixture.submit(session, StatementVerb::Read, "READ 1");
-    // Until just the time that a statement takes is left of its 800 ms.
+    // The read is held until only the time that a statement takes is left of its 800 ms.
     fixture.advance(milliseconds(784));
     UNSIGNED_LONGS_EQUAL(0, fixture.replies.size());
     fixture.advance(milliseconds(1));
@@ -211,9 +211,12 @@
     UNSIGNED_LONGS_EQUAL(0, fixture.pendingCount());
 }
 
-/** Found on smea-fuelauth, trouble-1: a refused session stood in the queue twice. */
+/**
+ * Guards against a refused session being in the queue twice, so that its next statement would run
+ * twice.
+ */
 TEST(StatementPooler, AStatementSentWithinARefusalRunsOnce) {
-    // Two connections to the primary stand idle.
+    // Opens two connections to the primary and leaves them idle.
     fixture.submit(fixture.session("current"), StatementVerb::Write, "WRITE 1 a");
     fixture.submit(fixture.session("current"), StatementVerb::Write, "WRITE 2 a");
     fixture.openConnections();
@@ -226,7 +229,7 @@
     fixture.withinReply = [this, session] {
         fixture.submit(session, StatementVerb::Read, "READ 2");
     };
-    // Between two rounds of the pooler, in which queues are looked through.
+    // The refusal falls between two rounds of the pooler, in which queues are reviewed.
     fixture.advance(milliseconds(770));
     fixture.advance(milliseconds(25));
     UNSIGNED_LONGS_EQUAL(1, fixture.replies.size());
@@ -256,15 +259,17 @@
     CHECK(!fixture.suspicions.empty());
 }
 
-/** As on smea-fuelauth-large, trouble-1: for 8 s a primary reset each connection that sent
- * something. */
+/**
+ * A primary that resets each connection on which a statement is sent, as one did for 8 s, must
+ * become suspect.
+ */
 TEST(StatementPooler, APrimaryThatBreaksEachConnectionBecomesSuspect) {
     for (int loss = 0; loss < 8; ++loss) {
         CHECK_TRUE(loss > 4 || fixture.suspicions.empty());
         const SessionId session = fixture.session("own");
         fixture.submit(session, StatementVerb::Set, "SET a b", "a", "b");
         fixture.submit(session, StatementVerb::Write, "WRITE 1 a");
-        // It takes the session's value, and answers nothing to the statement.
+        // The primary accepts the session's value, but does not respond to the statement.
         fixture.acknowledge();
         fixture.clock.advance(milliseconds(60));
         const ConnectionId broken = fixture.pending().connection;
@@ -319,7 +324,7 @@
         write("own");
         fixture.refuse(StatementFault::Busy);
         const TimePoint refusedAt = fixture.clock.now();
-        // One that was not refused itself has no pause of its own.
+        // A statement that was not refused itself has no pause of its own.
         write("own");
         while (fixture.pendingCount() == 0) {
             fixture.advance(milliseconds(5));
@@ -341,7 +346,7 @@
 }
 
 TEST(StatementPooler, TheFirstLimitIsAShareOfWhatTheServerBears) {
-    // Three slots, four statements in flight at most; with six executors one each to begin with.
+    // Three slots allow four statements in flight; with six executors each one starts with one.
     std::vector<ProxyNode> nodes;
     for (const char* name : {"n1", "n2", "n3", "n4", "n5"}) {
         nodes.push_back({NodeName(name), ZoneName(name), "10.0.0.1", 7000});
@@ -381,7 +386,7 @@
     CHECK_TRUE(std::any_of(sent.begin(), sent.end(), isUrgent));
 }
 
-/** Found on a deployment whose servers have two slots: in an overload all kinds were late alike. */
+/** With two slots per server, an overload would otherwise delay all kinds of statements alike. */
 TEST(StatementPooler, OfTheStatementsThatAreOnTimeThoseThatTakeLessGoFirst) {
     observeSlotTimes();
     const std::string occupying = write("own");
@@ -410,7 +415,7 @@
     STRCMP_EQUAL(late.c_str(), fixture.pending().command.id.c_str());
 }
 
-/** Found on dk-booking, scale-1: a primary lost one answer in five, and those reads timed out. */
+/** A primary that loses one response in five must not make those reads time out. */
 TEST(StatementPooler, AReadWhoseAnswerIsLostIsSentAgainWhileTheServerAnswersOthers) {
     const std::string lost =
         fixture.submit(fixture.session("current"), StatementVerb::Read, "READ 1");
@@ -437,7 +442,10 @@
     CHECK_TRUE(std::find(closed.begin(), closed.end(), connection) != closed.end());
 }
 
-/** Found on dk-booking, trouble-1: after a loss of power two nodes got no connection for 2 s. */
+/**
+ * After a power loss former connections still count at the servers: nodes that open more than one
+ * connection at once can leave other nodes without any for 2 s.
+ */
 TEST(StatementPooler, AfterAStartANodeOpensOneConnectionToEachServer) {
     PoolerKnobs knobs;
     knobs.node = NodeName("n0");
@@ -494,7 +502,7 @@
 }
 
 TEST(StatementPooler, EachNodeLeavesConnectionsForARestart) {
-    // Ten executors with this node, which stands in z1: two in each of five zones.
+    // Ten executors including this node, which is in z1: two in each of five zones.
     const std::vector<std::string> zones{"z0", "z0", "z1", "z2", "z2", "z3", "z3", "z4", "z4"};
     std::vector<ProxyNode> nodes;
     for (const std::string& zone : zones) {
@@ -508,11 +516,11 @@
         fixture.submit(sessions.back(), StatementVerb::Write, "WRITE 1 a");
         fixture.openConnections();
     }
-    // 30 connections of the server, 10 executors: three for each, one of them left alone.
+    // 30 connections of the server for 10 executors: three for each, of which one is kept free.
     UNSIGNED_LONGS_EQUAL(2, fixture.pendingCount());
 }
 
-/** The loop would do nothing else until the promotion is over. */
+/** A review that is due immediately would keep the event loop busy until the promotion is over. */
 TEST(StatementPooler, AWriteThatWaitsForAPromotionAsksForNoLookAtOnce) {
     PromotionNotice notice;
     notice.phase = PromotionPhase::Preparing;
@@ -526,7 +534,10 @@
     }
 }
 
-/** It answers who asks for its status, and is left alone for that when it only seems silent. */
+/**
+ * The primary answers status requests, and a primary that is suspected only of silence is kept if
+ * it does so. The reason must therefore change.
+ */
 TEST(StatementPooler, APrimaryThatLeavesWritesUnansweredIsNotTakenForSilent) {
     fixture.submit(fixture.session("current"), StatementVerb::Write, "WRITE k v");
     fixture.advance(milliseconds(600));
--- a/tests/pooling/RegionsTest.cpp
+++ b/tests/pooling/RegionsTest.cpp
@@ -1,4 +1,7 @@
-/** Work in an estate of several regions: what is near goes first, and a way takes no slot. */
+/**
+ * Work across several regions: nearby servers are preferred, and statements in transit occupy no
+ * slot.
+ */
 #include <CppUTest/TestHarness.h>
 
 #include <algorithm>
@@ -42,7 +45,7 @@
     return tree.candidates();
 }
 
-/** Takes no unit. */
+/** A forwarder that accepts no unit. */
 class NoForwarder final : public UnitForwarder {
 public:
     bool canReach(const NodeName& /*node*/) const override { return false; }
@@ -126,7 +129,8 @@
     DOUBLES_EQUAL(5, way.inflightPerRunning(Duration(0)), 0.001);
 }
 
-/** Server s1 is the primary, in this node's own zone "z1"; s2 and s3 are replicas in "z2" and "z3".
+/**
+ * Server s1 is the primary, in this node's own zone "z1"; s2 and s3 are replicas in "z2" and "z3".
  */
 TEST_GROUP(PoolerRegions) {
     PoolerFixture fixture;
@@ -141,7 +145,10 @@
         fixture.pooler.setRegions(regions, distances);
     }
 
-    /** Writes that are not answered leave the primary, which stands here, no room for reads. */
+    /**
+     * Occupies the primary, which is in the own zone, with unanswered writes, so that it has no
+     * capacity for reads.
+     */
     void crowdPrimary() {
         for (int index = 0; index < 4; ++index) {
             fixture.submit(fixture.session("bounded"), StatementVerb::Write, "WRITE 1 a");
@@ -158,7 +165,7 @@
         return count;
     }
 
-    /** Sessions whose commits all replicas have. */
+    /** Opens sessions whose commits all replicas have. */
     void commit(int sessions) {
         for (int index = 0; index < sessions; ++index) {
             readers.push_back(fixture.session("own"));
@@ -194,7 +201,7 @@
     CHECK_TRUE(readsAt("s3") > 0);
 }
 
-/** The primary's limit has grown as far as it does, and it is offered more than it takes. */
+/** The primary's limit has grown to its maximum, and the load exceeds the primary's capacity. */
 TEST(PoolerRegions, AFarPrimaryHasWhatItTakesBesideWhatIsOnTheWay) {
     const auto inFlightAt = [](Duration roundTrip) {
         PoolerFixture far;
--- a/tests/pooling/ScriptedForwarder.h
+++ b/tests/pooling/ScriptedForwarder.h
@@ -1,4 +1,4 @@
-/** Takes what a pooler forwards to other nodes. */
+/** A scripted forwarder for units that a pooler forwards to other nodes. */
 #pragma once
 
 #include <optional>
@@ -9,7 +9,7 @@
 
 namespace coralhoist::pooling {
 
-/** Records what is forwarded; the test delivers events itself. */
+/** Records forwarded units; the test delivers the events itself. */
 class ScriptedForwarder final : public UnitForwarder {
 public:
     struct Sent {
--- a/tests/pooling/SharedServersTest.cpp
+++ b/tests/pooling/SharedServersTest.cpp
@@ -1,4 +1,6 @@
-/** A load on eight poolers that execute one group, joined by a small network of reports. */
+/**
+ * Load on eight poolers that execute one group and exchange load reports over a simulated network.
+ */
 #include <CppUTest/TestHarness.h>
 
 #include <array>
@@ -22,8 +24,10 @@
 constexpr Duration kSlotTime = milliseconds(20);
 constexpr Duration kStep = milliseconds(1);
 
-/** One primary: a few slots, a short queue that is served in the order of arrival, and a refusal
- * for what finds it full. */
+/**
+ * A primary with a few slots and a short FIFO queue; it refuses statements that find the queue
+ * full.
+ */
 class CrowdedServer {
 public:
     struct Job {
@@ -32,7 +36,7 @@
         TimePoint until{};
     };
 
-    /** @return whether it was taken. */
+    /** @return whether the statement was accepted. */
     bool arrive(std::size_t executor, ConnectionId connection, TimePoint now) {
         ++arrivals;
         if (_waiting.size() >= kQueue) {
@@ -44,7 +48,7 @@
         return true;
     }
 
-    /** @return what has ended by now. */
+    /** @return the statements that have ended by now. */
     std::vector<Job> finish(TimePoint now) {
         std::vector<Job> done;
         while (!_running.empty() && _running.front().until <= now) {
@@ -81,7 +85,7 @@
     return ZoneName("z" + std::to_string(index / 2));
 }
 
-/** An executor with its connections, its callers and its way to tell the others. */
+/** An executor with its connections, its callers and its load reporter. */
 class Executor final : public ServerConnector, public PoolerOutput, public LoadReporter {
 public:
     Executor(std::size_t index, const Clock& clock) : pooler(clock, *this, *this, knobsOf(index)) {}
@@ -123,7 +127,7 @@
     std::vector<std::pair<SessionId, bool>> replies;
     std::vector<std::pair<NodeName, LoadReport>> told;
     std::map<SessionId, TimePoint> askedAt;
-    /** Statements that a step brings. */
+    /** Number of statements that arrive in each step. */
     double perStep = 0;
     double owed = 0;
     std::size_t asked = 0;
@@ -134,7 +138,7 @@
     std::uint64_t _lastConnection = 0;
 };
 
-/** Who tells whom, the server and the callers. Each step is a millisecond. */
+/** The network of load reports, the server and the callers. Each step takes one millisecond. */
 TEST_GROUP(SharedServers) {
     testing::ManualClock clock;
     GroupName group{"g"};
@@ -142,7 +146,7 @@
     std::vector<std::unique_ptr<Executor>> executors;
     std::set<std::pair<std::size_t, std::size_t>> cut;
     Duration reportDelay = milliseconds(1);
-    /** Reports on their way: when they come, and to whom. */
+    /** Reports in transit: arrival time and receiver of each. */
     std::deque<std::pair<TimePoint, std::pair<std::size_t, LoadReport>>> delayed;
     std::size_t reports = 0;
     std::size_t mostInflight = 0;
@@ -159,7 +163,7 @@
         play(milliseconds(1000));
     }
 
-    /** The executor takes the first nodes for all that there are. */
+    /** Sets the first `count` nodes as the nodes that the executor knows. */
     void seeNodes(std::size_t index, std::size_t count) {
         std::vector<ProxyNode> nodes;
         for (std::size_t other = 0; other < count; ++other) {
@@ -188,7 +192,7 @@
         pooler.applyDirectory(directory);
     }
 
-    /** Statements a second at each executor. */
+    /** Sets the number of statements per second at each executor. */
     void demand(const std::array<double, kExecutors>& perSecond) {
         for (std::size_t index = 0; index < kExecutors; ++index) {
             executors[index]->perStep = perSecond[index] / 1000;
@@ -327,7 +331,7 @@
     }
 };
 
-/** Twice what the server's slots serve, most of it in one zone. */
+/** Twice the capacity of the server's slots, most of it in one zone. */
 constexpr std::array<double, kExecutors> kUneven{200, 160, 50, 50, 40, 40, 30, 30};
 
 TEST(SharedServers, WithoutSharesExecutorsOvershootTogether) {
@@ -361,7 +365,7 @@
     print("cut");
     CHECK_TRUE(refusedPart() < 0.01);
     UNSIGNED_LONGS_EQUAL(kExecutors, sharing());
-    // An equal part is 38 statements a second, and the others have the rest.
+    // An equal share is 38 statements a second; the other executors use the rest.
     CHECK_TRUE(executors[0]->inTime < 150);
     CHECK_TRUE(inTimeOf(1, 7) > 700);
 }
@@ -376,7 +380,8 @@
     play(milliseconds(2000));
     print("killed, still counted");
     CHECK_TRUE(refusedPart() < 0.01);
-    // Seven eighths of nine in flight still keep six slots busy: 300 a second.
+    // Seven eighths of nine statements in flight still keep six slots busy: 300 statements a
+    // second.
     CHECK_TRUE(inTimeOf(1, 7) > 560);
 }
 
@@ -426,7 +431,7 @@
     play(milliseconds(1000));
     print("zone emptied");
     CHECK_TRUE(refusedPart() < 0.01);
-    // All that the slots serve, 300 a second.
+    // The full capacity of the slots, 300 statements a second.
     CHECK_TRUE(server.arrivals > 280);
 }
 
--- a/tests/pooling/TenantConnectionsTest.cpp
+++ b/tests/pooling/TenantConnectionsTest.cpp
@@ -20,7 +20,7 @@
         return fixture.pooler.openSession(ServiceName("current"), TenantName(tenant));
     }
 
-    /** Submits a write of a new session; opens the connection that it needs, if any. */
+    /** Submits a write of a new session and opens the connection that it needs, if any. */
     SessionId write(const char* tenant) {
         const SessionId session = sessionOf(tenant);
         fixture.submit(session, StatementVerb::Write, "WRITE 1 a");
@@ -32,7 +32,7 @@
         return fixture.connector.tenantOf.at(fixture.pending().connection);
     }
 
-    /** Each server takes `connections` from this node at most. */
+    /** Limits the connections that each server accepts from this node to `connections`. */
     void limitConnections(std::uint32_t connections) {
         fixture.groupSettings.connectionsPerServer = connections + 1;
         fixture.applySettings();
@@ -70,7 +70,7 @@
     }
     write("b");
     fixture.succeed();
-    // The fixture's own connection, which belongs to no tenant, is used by nobody.
+    // The fixture's own connection belongs to no tenant, so no session uses it.
     fixture.connector.closed.clear();
     write("c");
     fixture.succeed();
@@ -78,7 +78,7 @@
     STRCMP_EQUAL("", fixture.connector.tenantOf.at(fixture.connector.closed[0]).value().c_str());
     write("d");
     fixture.succeed();
-    // "a" and "c" have each had one statement, "a" longer ago; "b" has had two.
+    // "a" and "c" have had one statement each, "a" longer ago; "b" has had two.
     UNSIGNED_LONGS_EQUAL(2, fixture.connector.closed.size());
     STRCMP_EQUAL("a", fixture.connector.tenantOf.at(fixture.connector.closed[1]).value().c_str());
 }
@@ -97,7 +97,7 @@
 }
 
 TEST(TenantConnections, IdleConnectionsAreVerifiedWhenAStatementGetsNoAnswer) {
-    // Two connections of "a": two writes at once.
+    // Two concurrent writes open two connections of "a".
     fixture.submit(sessionOf("a"), StatementVerb::Write, "WRITE 1 a");
     fixture.submit(sessionOf("a"), StatementVerb::Write, "WRITE 2 a");
     fixture.openConnections();
--- a/tests/pooling/TurnsTest.cpp
+++ b/tests/pooling/TurnsTest.cpp
@@ -1,4 +1,6 @@
-/** Who takes whose turn when more is asked than the servers take. */
+/**
+ * Order of service among tenants, ranks and services when the load exceeds the servers' capacity.
+ */
 #include <CppUTest/TestHarness.h>
 
 #include <memory>
@@ -9,13 +11,16 @@
 namespace {
 
 constexpr std::size_t kFlood = 30;
-/** Turns that a flow may have in advance and count as served alike: 50 ms of unknown slot times. */
+/**
+ * Number of statements by which a flow may be ahead and still count as served equally: 50 ms of
+ * unknown slot times.
+ */
 constexpr std::size_t kTurnsAlike = 3;
 
 TEST_GROUP(Turns) {
     PoolerFixture fixture;
 
-    /** Puts two services of ranks behind the first in force, with the fixture's groupSettings. */
+    /** Applies two services of the ranks after the first, with the fixture's groupSettings. */
     void applyRanks() {
         auto catalog = std::make_shared<ServiceCatalog>();
         settings::ServiceSettings service;
@@ -41,8 +46,11 @@
         }
     }
 
-    /** Answers what the primary was sent, one after the other, until the session has its reply.
-     * @return how many replies came before. */
+    /**
+     * Answers the commands sent to the primary, one after the other, until the session has its
+     * reply.
+     * @return the number of replies before that one.
+     */
     std::size_t repliesBefore(SessionId session) {
         const std::size_t before = fixture.replies.size();
         while (fixture.pendingCount() > 0) {
@@ -61,7 +69,7 @@
     flood("current", "flood");
     const std::size_t sent = fixture.pendingCount();
     const SessionId session = write("current", "other");
-    // One turn goes by while its connection opens.
+    // One statement is served while the tenant's connection is being opened.
     LONGS_EQUAL(sent + kTurnsAlike + 1, repliesBefore(session));
 }
 
@@ -71,7 +79,7 @@
     flood("second", "");
     const std::size_t sent = fixture.pendingCount();
     const SessionId session = write("third", "");
-    // One turn in five is kept for it.
+    // One statement in five is reserved for the rank.
     LONGS_EQUAL(sent + 5, repliesBefore(session));
 }
 
--- a/tests/pooling/UnevenServersTest.cpp
+++ b/tests/pooling/UnevenServersTest.cpp
@@ -7,7 +7,7 @@
 
 using std::chrono::milliseconds;
 
-/** Server s1 is the primary, in this node's own zone; s2 and s3 are replicas in others. */
+/** Server s1 is the primary, in this node's own zone; s2 and s3 are replicas in other zones. */
 TEST_GROUP(UnevenServers) {
     PoolerFixture fixture;
 
@@ -15,7 +15,7 @@
         return fixture.pooler.statistics();
     }
 
-    /** A session whose commit got this position. */
+    /** @return a session whose commit was given this position. */
     SessionId committed(LogPosition position) {
         const SessionId session = fixture.session("own");
         fixture.submit(session, StatementVerb::Write, "WRITE 1 a");
@@ -28,7 +28,7 @@
         fixture.openConnections();
     }
 
-    /** Leaves the primary no room: writes run there that are not answered. */
+    /** Occupies the primary with unanswered writes, so that it has no capacity. */
     void crowdPrimary() {
         for (int index = 0; index < 4; ++index) {
             fixture.submit(fixture.session("bounded"), StatementVerb::Write, "WRITE 1 a");
@@ -49,7 +49,7 @@
         return sentTo("s2") + sentTo("s3");
     }
 
-    /** A replica refuses what it was sent first, and shows its position. */
+    /** Lets a replica refuse the first command it was sent and report its position. */
     void refuseAt(const std::string& server, LogPosition position) {
         std::vector<SentCommand>& sent = fixture.connector.sent;
         for (auto entry = sent.begin(); entry != sent.end(); ++entry) {
@@ -67,7 +67,7 @@
         FAIL("nothing was sent to the server");
     }
 
-    /** The primary fails reads until it is ejected. */
+    /** Lets the primary fail reads until it is ejected. */
     void ejectPrimary() {
         committed(100);
         for (int index = 0; index < 10; ++index) {
@@ -138,7 +138,7 @@
     read(first);
     refuseAt("s2", 150);
     refuseAt("s3", 210);
-    // The refusal at s3 told a position that has come in the meantime.
+    // The refusal of s3 reported a position that has been reached in the meantime.
     read(second);
     LONGS_EQUAL(0, sentTo("s2"));
     LONGS_EQUAL(1, sentTo("s3"));
