--- a/tests/pooling/PoolerFixture.h
+++ b/tests/pooling/PoolerFixture.h
@@ -67,7 +67,7 @@
     /** Answers the oldest unanswered command with success. */
     void succeed(OpTime position = {1, 100}, SessionState state = SessionState::Idle);
     void refuse(StatementFault fault, SessionState state = SessionState::Idle);
-    /** Answers the oldest unanswered command, which must be one of the proxy's own commands. */
+    /** Answers the oldest unanswered command without a signature, like a command of the proxy. */
     void acknowledge(SessionState state = SessionState::Idle);
 
     /** @return the oldest unanswered command. */
