--- a/src/duty/pooling/PoolingDuty.h
+++ b/src/duty/pooling/PoolingDuty.h
@@ -95,7 +95,7 @@
 /** Builds and joins the parts. */
 class PoolingDuty final : public Duty,
                           public pooling::PoolerOutput,
-                          public pooling::StopSurroundings {
+                          public pooling::CallerFrontend {
 public:
     /** @param stopped called on this thread when a planned stop is complete. */
     PoolingDuty(PoolingOptions options, PoolingAdapter adapter, std::function<void()> stopped);
--- a/src/duty/pooling/PoolingMetrics.cpp
+++ b/src/duty/pooling/PoolingMetrics.cpp
@@ -128,9 +128,9 @@
                 "Crowded groups whose executors keep to their shares of the servers.",
                 statistics.groupsSharing);
     page.metric("counter", "load_reports_told_total", "Reports of load told to other executors.",
-                statistics.loadReportsTold);
+                statistics.loadReportsSent);
     page.metric("counter", "load_reports_taken_total", "Reports of load taken from them.",
-                statistics.loadReportsTaken);
+                statistics.loadReportsReceived);
 }
 
 void appendGroups(Page& page, const PoolingFigures& figures) {
@@ -324,7 +324,7 @@
                    "The ended ones by reason.", pooler.endedByReason);
     page.metric("counter", "returns_in_turn_total",
                 "Statements asked again after a refusal, queued by their first arrival.",
-                pooler.returnsInTurn);
+                pooler.retriesAfterRefusal);
     page.metric("counter", "lagging_total", "Reads that a replica was too far behind for.",
                 pooler.lagging);
     page.metric("counter", "waited_for_replica_total",
--- a/src/duty/pooling/PoolingPlacement.cpp
+++ b/src/duty/pooling/PoolingPlacement.cpp
@@ -129,7 +129,7 @@
 void PoolingDuty::reviewColdServers() {
     _warmup.onReview();
     for (const warmup::ColdServers::Server& warmed : _coldServers.takeWarmed(_clock.now())) {
-        _pooler.admitAnew(warmed.group, warmed.server);
+        _pooler.restartSlowStart(warmed.group, warmed.server);
     }
     _pooler.reviewPlacement();
 }
--- a/src/link/forwarding/UnitLinkQuestions.cpp
+++ b/src/link/forwarding/UnitLinkQuestions.cpp
@@ -65,7 +65,7 @@
 }
 
 /** Nobody waits for an answer, so a lost report costs nothing but its news. */
-void UnitLinks::tellLoad(const NodeName& node, const pooling::LoadReport& report) {
+void UnitLinks::sendLoadReport(const NodeName& node, const pooling::LoadReport& report) {
     const auto found = _links.find(node);
     if (found == _links.end() || found->second.node.port == 0 || _failed.contains(node)) {
         return;
--- a/src/link/forwarding/UnitLinks.h
+++ b/src/link/forwarding/UnitLinks.h
@@ -64,7 +64,7 @@
                       const tenancy::LedgerUpdate& update) override;
 
     /** A node whose link was lost, or does not take what was sent before, is told nothing. */
-    void tellLoad(const NodeName& node, const pooling::LoadReport& report) override;
+    void sendLoadReport(const NodeName& node, const pooling::LoadReport& report) override;
 
     /** Passes answers to questions on from now on. All outlive the links' use. */
     void setQuestionEvents(const QuestionEvents& events) { _questionEvents = events; }
--- a/src/placement/PolicyChain.cpp
+++ b/src/placement/PolicyChain.cpp
@@ -43,9 +43,9 @@
         [&](pooling::PlacementPolicy& policy) { return policy.mayContinue(unit, server); });
 }
 
-PlacementVerdict PolicyChain::mayRest(const PlacedUnit& unit, const PlacedServer& server) {
+PlacementVerdict PolicyChain::mayStayIdle(const PlacedUnit& unit, const PlacedServer& server) {
     return strictest(
-        [&](pooling::PlacementPolicy& policy) { return policy.mayRest(unit, server); });
+        [&](pooling::PlacementPolicy& policy) { return policy.mayStayIdle(unit, server); });
 }
 
 bool PolicyChain::isClosed(const PlacedServer& server) {
--- a/src/placement/PolicyChain.h
+++ b/src/placement/PolicyChain.h
@@ -30,8 +30,8 @@
                                        const pooling::PlacedServer& server) override;
     pooling::PlacementVerdict mayContinue(const pooling::PlacedUnit& unit,
                                           const pooling::PlacedServer& server) override;
-    pooling::PlacementVerdict mayRest(const pooling::PlacedUnit& unit,
-                                      const pooling::PlacedServer& server) override;
+    pooling::PlacementVerdict mayStayIdle(const pooling::PlacedUnit& unit,
+                                          const pooling::PlacedServer& server) override;
     bool isClosed(const pooling::PlacedServer& server) override;
     bool mayForwardTo(const pooling::PlacedUnit& unit, const ZoneName& zone) override;
     bool mayLogAnswers(const pooling::PlacedUnit& unit) override;
--- a/src/placement/WarmupPolicy.h
+++ b/src/placement/WarmupPolicy.h
@@ -44,8 +44,8 @@
     pooling::PlacementVerdict mayContinue(const pooling::PlacedUnit& unit,
                                           const pooling::PlacedServer& server) override;
     /** A transaction that rests sends nothing and needs no unit. */
-    pooling::PlacementVerdict mayRest(const pooling::PlacedUnit& /*unit*/,
-                                      const pooling::PlacedServer& /*server*/) override {
+    pooling::PlacementVerdict mayStayIdle(const pooling::PlacedUnit& /*unit*/,
+                                          const pooling::PlacedServer& /*server*/) override {
         return pooling::PlacementVerdict::allowed();
     }
     bool mayForwardTo(const pooling::PlacedUnit& /*unit*/, const ZoneName& /*zone*/) override {
--- a/src/pooling/LoadReport.h
+++ b/src/pooling/LoadReport.h
@@ -34,7 +34,7 @@
 public:
     virtual ~LoadReporter() = default;
 
-    virtual void tellLoad(const NodeName& node, const LoadReport& report) = 0;
+    virtual void sendLoadReport(const NodeName& node, const LoadReport& report) = 0;
 };
 
 /** Receives the load reports of other nodes. */
--- a/src/pooling/PlacementPolicy.h
+++ b/src/pooling/PlacementPolicy.h
@@ -85,7 +85,7 @@
      * is, while none of its statements is to be sent. Only a prohibition counts; a deferral has no
      * effect.
      */
-    virtual PlacementVerdict mayRest(const PlacedUnit& unit, const PlacedServer& server) {
+    virtual PlacementVerdict mayStayIdle(const PlacedUnit& unit, const PlacedServer& server) {
         return mayContinue(unit, server);
     }
 
--- a/src/pooling/PlannedStop.h
+++ b/src/pooling/PlannedStop.h
@@ -10,9 +10,9 @@
 namespace coralhoist::pooling {
 
 /** What a planned stop needs of the components that serve callers. */
-class StopSurroundings {
+class CallerFrontend {
 public:
-    virtual ~StopSurroundings() = default;
+    virtual ~CallerFrontend() = default;
 
     /** Stops accepting connections of callers. */
     virtual void stopListening() = 0;
@@ -38,7 +38,7 @@
 class PlannedStop {
 public:
     /** The references must outlive this object. */
-    PlannedStop(const Clock& clock, StatementPooler& pooler, StopSurroundings& surroundings)
+    PlannedStop(const Clock& clock, StatementPooler& pooler, CallerFrontend& surroundings)
         : _clock(clock), _pooler(pooler), _surroundings(surroundings) {}
 
     /** @param grace time from now on after which the process is killed. */
@@ -52,7 +52,7 @@
 private:
     const Clock& _clock;
     StatementPooler& _pooler;
-    StopSurroundings& _surroundings;
+    CallerFrontend& _surroundings;
     std::optional<TimePoint> _beganAt;
     Duration _grace{0};
 };
--- a/src/pooling/PooledSession.h
+++ b/src/pooling/PooledSession.h
@@ -46,7 +46,7 @@
     /** A write has been sent in the transaction. */
     bool wrote = false;
     /** The failure has been reported to the caller. */
-    bool failureTold = false;
+    bool failureReported = false;
     /**
      * Where the transaction is open: on a connection of this node, or in a unit that another node
      * executes.
@@ -80,7 +80,7 @@
      * When the caller first sent the statement, across refusals and nodes; not later than
      * arrivedAt.
      */
-    TimePoint firstAskedAt{};
+    TimePoint firstRequestedAt{};
     /** A response that arrives by this time is still expected to be useful to the caller. */
     TimePoint usefulUntil{};
     /** Until when the response to a sent statement is awaited. */
--- a/src/pooling/PoolerAdmission.cpp
+++ b/src/pooling/PoolerAdmission.cpp
@@ -18,26 +18,26 @@
  * Retry delay for a refused caller while no forecast is known: after a promotion, or when a queue
  * has advanced.
  */
-constexpr std::chrono::milliseconds kComeBackAfterPromotion{500};
-constexpr std::chrono::milliseconds kComeBackAfterOverload{100};
+constexpr std::chrono::milliseconds kRetryDelayAfterPromotion{500};
+constexpr std::chrono::milliseconds kRetryDelayAfterOverload{100};
 /**
  * Minimum slot time that is assumed for a statement, also while none of its kind has been observed.
  */
-constexpr Duration kLeastSlotTime = std::chrono::milliseconds(15);
+constexpr Duration kMinimumSlotTime = std::chrono::milliseconds(15);
 /**
  * A caller that retries near the end of its timeout is held beyond the timeout by this fraction
  * (1/n) of it: the retry shows that the caller has not given up the statement.
  */
-constexpr int kReturnHoldDivisor = 10;
+constexpr int kRetryHoldDivisor = 10;
 /**
  * A late retry is held at least for the time that a proof of leadership or a new connection takes.
  */
-constexpr Duration kLeastHold = std::chrono::milliseconds(50);
+constexpr Duration kMinimumHold = std::chrono::milliseconds(50);
 /**
  * Number of statement timeouts for which a refused statement is recognized as the same one when it
  * is retried.
  */
-constexpr int kTurnKeptFor = 2;
+constexpr int kRefusalKeptForTimeouts = 2;
 /**
  * Obstacles that a free slot does not remove: statements with these obstacles are not in a queue.
  */
@@ -62,30 +62,30 @@
         session.firstAsking.remembers(now)
             ? session.firstAsking.of(contentHash(operation.statement), now)
             : std::nullopt;
-    operation.firstAskedAt = first.value_or(now - waited);
+    operation.firstRequestedAt = first.value_or(now - waited);
     operation.deadline = now + timeout;
-    operation.usefulUntil = operation.firstAskedAt + timeout;
+    operation.usefulUntil = operation.firstRequestedAt + timeout;
     if (const auto usefulFor = std::exchange(session.usefulFor, std::nullopt)) {
         operation.usefulUntil = now + *usefulFor;
-    } else if (operation.firstAskedAt < now) {
+    } else if (operation.firstRequestedAt < now) {
         operation.usefulUntil =
             std::max(operation.usefulUntil,
-                     std::min(now, operation.usefulUntil) + timeout / kReturnHoldDivisor);
+                     std::min(now, operation.usefulUntil) + timeout / kRetryHoldDivisor);
     }
     if (first) {
-        ++_statistics.returnsInTurn;
+        ++_statistics.retriesAfterRefusal;
     }
     const Duration shortened = timeout * (kPercent - std::min(_knobs.holdPercent, kPercent));
     operation.holdUntil =
         std::max(std::min(latestStart(session), operation.usefulUntil - shortened / kPercent),
-                 std::min(now + kLeastHold, operation.deadline));
+                 std::min(now + kMinimumHold, operation.deadline));
 }
 
 /** @return the latest time at which the statement can be sent and still be answered in time. */
 TimePoint StatementPooler::latestStart(const PooledSession& session) {
     const Duration slotTime =
         groupOf(session).slotTimes.expected(session.service, unitKindOf(session));
-    return session.operation->usefulUntil - std::max(slotTime, kLeastSlotTime);
+    return session.operation->usefulUntil - std::max(slotTime, kMinimumSlotTime);
 }
 
 /**
@@ -97,8 +97,9 @@
     if (!result.error) {
         session.firstAsking.noteSucceeded();
     } else if (result.error->fault == StatementFault::Busy) {
-        session.firstAsking.noteRefused(contentHash(operation.statement), operation.firstAskedAt,
-                                        session.settings.statementTimeout * kTurnKeptFor);
+        session.firstAsking.noteRefused(
+            contentHash(operation.statement), operation.firstRequestedAt,
+            session.settings.statementTimeout * kRefusalKeptForTimeouts);
     }
 }
 
@@ -107,7 +108,7 @@
 }
 
 TimePoint StatementPooler::onTimeUntil(const PooledSession& session) const {
-    return session.operation->firstAskedAt +
+    return session.operation->firstRequestedAt +
            std::chrono::duration_cast<Duration>(session.settings.latencyObjective *
                                                 _knobs.onTimeShare);
 }
@@ -122,7 +123,7 @@
 }
 
 /** Refuses those of the group's queued statements that are not expected to start in time. */
-void StatementPooler::reviewWaits(GroupState& group) {
+void StatementPooler::refuseByForecast(GroupState& group) {
     const TimePoint now = _clock.now();
     if (group.waiting.empty() || !group.admission.isDue(now)) {
         return;
@@ -150,7 +151,7 @@
     GroupState& group = groupOf(session);
     const bool leaderless =
         !group.leadership.primary() || group.leadership.notice().phase != PromotionPhase::None;
-    const auto pause = leaderless ? kComeBackAfterPromotion : kComeBackAfterOverload;
+    const auto pause = leaderless ? kRetryDelayAfterPromotion : kRetryDelayAfterOverload;
     const TimePoint now = _clock.now();
     const bool queued = obstacleWithoutQueue(*session.operation).empty() && !leaderless;
     session.operation->forecast = group.admission.waitOfNext(statementClassOf(session), now);
--- a/src/pooling/PoolerConnections.cpp
+++ b/src/pooling/PoolerConnections.cpp
@@ -50,7 +50,7 @@
     transaction.phase = TransactionPhase::Failed;
     endUnit(transaction.unit);
     transaction.connection.reset();
-    transaction.failureTold = session.operation.has_value();
+    transaction.failureReported = session.operation.has_value();
 }
 
 void StatementPooler::onLost(ConnectionId id) {
@@ -85,10 +85,10 @@
     if (server == nullptr || connection.awaited.empty()) {
         return;
     }
-    if (server->lostInRow == 0) {
-        server->losingSince = _clock.now();
+    if (server->consecutiveLosses == 0) {
+        server->firstLossAt = _clock.now();
     }
-    ++server->lostInRow;
+    ++server->consecutiveLosses;
     noteRequestLost(server);
 }
 
--- a/src/pooling/PoolerDispatch.cpp
+++ b/src/pooling/PoolerDispatch.cpp
@@ -15,7 +15,7 @@
  * Retry delay for a caller whose statement the policy excludes from all servers: the policy's
  * verdicts change by manual intervention or by a promotion.
  */
-constexpr Duration kComeBackAfterPlacement = std::chrono::milliseconds(1000);
+constexpr Duration kRetryDelayAfterPlacement = std::chrono::milliseconds(1000);
 
 }  // namespace
 
@@ -33,7 +33,7 @@
         }
     }
     Operation& operation = *session.operation;
-    const ServerChosen chosen = ServerChoice::choose(candidates, replicaPatience(group, session));
+    const ServerChosen chosen = ServerChoice::choose(candidates, replicaWaitLimit(group, session));
     if (chosen.index) {
         return servers[*chosen.index];
     }
@@ -103,7 +103,7 @@
     }
     ++_statistics.refusedByPlacement;
     ++_statistics.refusedByReason[outlook.reason];
-    refuseQueued(session, outlook.soonest.value_or(kComeBackAfterPlacement));
+    refuseQueued(session, outlook.soonest.value_or(kRetryDelayAfterPlacement));
     return true;
 }
 
@@ -131,7 +131,7 @@
     candidate.unitTime = unitTimeOf(group, session);
     candidate.slowness = slownessOf(server);
     candidate.inflight = server.inflight;
-    candidate.concurrency = firstLimit(server.address.group, server);
+    candidate.concurrency = initialLimit(server.address.group, server);
     candidate.connecting =
         _connections.hasIdleFor(server, session.tenant) ? Duration(0) : _knobs.connectPenalty;
     candidate.penalty = distancePenalty(server);
@@ -166,8 +166,8 @@
  * that the primary can still serve the read in time if the expectation fails. A primary with free
  * slots serves it without a wait.
  */
-Duration StatementPooler::replicaPatience(const GroupState& group,
-                                          const PooledSession& session) const {
+Duration StatementPooler::replicaWaitLimit(const GroupState& group,
+                                           const PooledSession& session) const {
     const std::optional<Primary>& primary = group.leadership.primary();
     const auto found = primary ? group.servers.find(primary->server) : group.servers.end();
     if (found != group.servers.end() && found->second.ready && !isHalfUsed(found->second)) {
@@ -200,7 +200,7 @@
  * @return the maximum number of statements in flight that the server's capacity allows, including
  * those in transit.
  */
-double StatementPooler::takenBy(const ServerState& server) const {
+double StatementPooler::inflightCapacityOf(const ServerState& server) const {
     return server.slots * _knobs.inflightPerSlot * wayTo(server).inflightPerRunning(server.latency);
 }
 
--- a/src/pooling/PoolerForwarding.cpp
+++ b/src/pooling/PoolerForwarding.cpp
@@ -103,7 +103,7 @@
     opening.settings = session.settings;
     const Operation& operation = *session.operation;
     const Duration remaining = operation.deadline - _clock.now() - _knobs.forwardingMargin;
-    opening.waited = _clock.now() - operation.firstAskedAt;
+    opening.waited = _clock.now() - operation.firstRequestedAt;
     opening.usefulFor = std::max(operation.usefulUntil - _clock.now() - _knobs.forwardingMargin,
                                  _knobs.forwardingMargin);
     opening.settings.statementTimeout = std::max(remaining, _knobs.forwardingMargin);
--- a/src/pooling/PoolerQueue.cpp
+++ b/src/pooling/PoolerQueue.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /** A statement that has waited this long for a proof of leadership is forwarded to another node. */
-constexpr Duration kProofPatience = std::chrono::milliseconds(100);
+constexpr Duration kProofWaitLimit = std::chrono::milliseconds(100);
 
 }  // namespace
 
@@ -29,7 +29,7 @@
     admission::WaitingStatement waiting;
     waiting.session = session.id;
     waiting.rank = session.settings.admissionRank();
-    waiting.arrivedAt = session.operation->firstAskedAt;
+    waiting.arrivedAt = session.operation->firstRequestedAt;
     waiting.onTimeFor = std::chrono::duration_cast<Duration>(session.settings.latencyObjective *
                                                              _knobs.onTimeShare);
     waiting.flow = flowOf(group, session);
@@ -67,7 +67,7 @@
             }
         }
     }
-    reviewWaits(group);
+    refuseByForecast(group);
 }
 
 std::array<std::size_t, settings::kAdmissionRanks> StatementPooler::waitingByRank() const {
@@ -137,7 +137,7 @@
  * primary.
  */
 bool StatementPooler::moveToOther(const GroupState& group, PooledSession& session) {
-    const char* obstacle = obstacleHere(group, *session.operation);
+    const char* obstacle = localObstacle(group, *session.operation);
     if (obstacle == nullptr || !forwardToOther(session)) {
         return false;
     }
@@ -230,14 +230,14 @@
  * lead. The other nodes may have the same obstacle, but then nothing is lost.
  * @return a word for logs; null if this node can serve the statement.
  */
-const char* StatementPooler::obstacleHere(const GroupState& group,
-                                          const Operation& operation) const {
+const char* StatementPooler::localObstacle(const GroupState& group,
+                                           const Operation& operation) const {
     if (_knobs.moveToOthers == 0 || !group.leadership.primary()) {
         return nullptr;
     }
     const TimePoint now = _clock.now();
     if (!operation.writes && !group.leadership.isCertainFor(operation.consistentSince)) {
-        const bool overdue = now - operation.arrivedAt > kProofPatience;
+        const bool overdue = now - operation.arrivedAt > kProofWaitLimit;
         return overdue ? "leadership_unproven" : nullptr;
     }
     const auto found = group.servers.find(group.leadership.primary()->server);
--- a/src/pooling/PoolerResults.cpp
+++ b/src/pooling/PoolerResults.cpp
@@ -43,14 +43,14 @@
     const AwaitedResult awaited = connection->awaited.front();
     connection->awaited.pop_front();
     if (ServerState* server = serverOf(*connection)) {
-        server->heardAt = _clock.now();
+        server->lastSeenAt = _clock.now();
         if (awaited == AwaitedResult::Statement) {
             // Responses to the proxy's own commands do not show that the server serves callers.
-            server->lostInRow = 0;
+            server->consecutiveLosses = 0;
         }
         server->silentSince.reset();
         if (server->inflight > 1) {
-            server->silentSince = server->heardAt;
+            server->silentSince = server->lastSeenAt;
         }
     }
     notePosition(*connection, result.position);
@@ -141,8 +141,8 @@
         lowerLimit(*server, _knobs.latencyDecrease);
         return;
     }
-    server->inflightLimit =
-        std::min(server->inflightLimit + _knobs.inflightIncrease, std::max(1.0, takenBy(*server)));
+    server->inflightLimit = std::min(server->inflightLimit + _knobs.inflightIncrease,
+                                     std::max(1.0, inflightCapacityOf(*server)));
 }
 
 /** Servers are compared only by reads that any server may run: writes run on the primary alone. */
@@ -380,7 +380,7 @@
             .field("term", position.term);
         markDirty(group);
     }
-    tellIfChanged(group, primary);
+    notifyIfPrimaryChanged(group, primary);
     if (ServerState* server = serverOf(connection)) {
         const TimePoint now = _clock.now();
         server->catchUp.observe(position, group.floors.lagOf(position, now), now);
@@ -390,10 +390,11 @@
 void StatementPooler::noteReadOnly(GroupState& group, const ServerName& server) {
     const std::optional<Primary> before = group.leadership.primary();
     group.leadership.onReadOnly(server, _clock.now());
-    tellIfChanged(group, before);
+    notifyIfPrimaryChanged(group, before);
 }
 
-void StatementPooler::tellIfChanged(const GroupState& group, const std::optional<Primary>& before) {
+void StatementPooler::notifyIfPrimaryChanged(const GroupState& group,
+                                             const std::optional<Primary>& before) {
     if (group.leadership.primary() != before) {
         _output.primaryChanged(group.name);
     }
--- a/src/pooling/PoolerShares.cpp
+++ b/src/pooling/PoolerShares.cpp
@@ -19,7 +19,7 @@
 
 SharedServer StatementPooler::sharedServer(const ServerState& server) const {
     const std::optional<Primary>& primary = _groups.at(server.address.group).leadership.primary();
-    return {server.address.server, server.slots, takenBy(server),
+    return {server.address.server, server.slots, inflightCapacityOf(server),
             server.latency + wayTo(server).roundTrip,
             primary && primary->server == server.address.server};
 }
@@ -55,7 +55,7 @@
     }
     if (found->second.shares.take(report, _placement.preferenceOf(report.group), _clock.now())) {
         _activeGroups.insert(&found->second);
-        ++_statistics.loadReportsTaken;
+        ++_statistics.loadReportsReceived;
     }
 }
 
@@ -89,7 +89,7 @@
     }
     load.taken = 0;
     for (const auto& [serverName, server] : group.servers) {
-        load.taken += server.ready ? takenBy(server) : 0;
+        load.taken += server.ready ? inflightCapacityOf(server) : 0;
     }
     return load;
 }
@@ -114,8 +114,8 @@
     }
     const LoadReport report{_knobs.node, name, shares.demand(), shares.lacksRoom(now)};
     for (const NodeName& node : others) {
-        ++_statistics.loadReportsTold;
-        _loadReporter->tellLoad(node, report);
+        ++_statistics.loadReportsSent;
+        _loadReporter->sendLoadReport(node, report);
     }
 }
 
--- a/src/pooling/PoolerStatements.cpp
+++ b/src/pooling/PoolerStatements.cpp
@@ -143,11 +143,11 @@
         replyCompleted(session);
         return;
     }
-    if (transaction.failureTold) {
+    if (transaction.failureReported) {
         replyError(session, StatementFault::Malformed, "the transaction has failed; end it");
         return;
     }
-    transaction.failureTold = true;
+    transaction.failureReported = true;
     replyError(session, StatementFault::Aborted, "the transaction was rolled back");
 }
 
@@ -179,7 +179,7 @@
         if (statement.verb != StatementVerb::Commit) {
             startTransaction(*session, {});
             failTransaction(*session);
-            session->transaction.failureTold = true;
+            session->transaction.failureReported = true;
         }
     }
     replyError(*session, std::move(error));
--- a/src/pooling/PoolerStatistics.h
+++ b/src/pooling/PoolerStatistics.h
@@ -66,7 +66,7 @@
      * Statements retried by the caller after a refusal; their waiting time counts from the first
      * arrival.
      */
-    std::uint64_t returnsInTurn = 0;
+    std::uint64_t retriesAfterRefusal = 0;
     std::uint64_t lagging = 0;
     /** Reads that waited for a replica that was about to reach their position. */
     std::uint64_t waitedForReplica = 0;
@@ -85,8 +85,8 @@
     std::uint64_t forwarded = 0;
     std::uint64_t executedForOthers = 0;
     /** Load reports sent to other executors, and load reports received from them. */
-    std::uint64_t loadReportsTold = 0;
-    std::uint64_t loadReportsTaken = 0;
+    std::uint64_t loadReportsSent = 0;
+    std::uint64_t loadReportsReceived = 0;
     /**
      * Groups visited, in periodic rounds and for queued statements; the count grows with the work
      * of this node, not with the number of groups.
--- a/src/pooling/PoolerTimers.cpp
+++ b/src/pooling/PoolerTimers.cpp
@@ -42,7 +42,7 @@
     }
     if (now >= _nextRound) {
         _nextRound = now + kRound;
-        everyTick(now);
+        runRound(now);
     }
     settle();
 }
@@ -123,8 +123,8 @@
                         : "no answer within the statement timeout");
 }
 
-void StatementPooler::everyTick(TimePoint now) {
-    endRestingTransactions(now);
+void StatementPooler::runRound(TimePoint now) {
+    endIdleTransactions(now);
     closeLateConnections();
     const bool report = now >= _nextReport;
     _nextReport = report ? now + kReportEvery : _nextReport;
@@ -194,7 +194,7 @@
     }
 }
 
-void StatementPooler::endRestingTransactions(TimePoint now) {
+void StatementPooler::endIdleTransactions(TimePoint now) {
     std::vector<SessionId> resting;
     for (const SessionId id : _openTransactions) {
         const PooledSession& session = _sessions.at(id);
@@ -222,7 +222,7 @@
             continue;
         }
         const GroupState& group = groupOf(session);
-        const PlacementVerdict verdict = _policy->mayRest(
+        const PlacementVerdict verdict = _policy->mayStayIdle(
             placedUnit(session, isPrimary(group, *server)), placedServer(group, *server));
         if (verdict.isForbidden()) {
             ending.emplace_back(id, verdict.reason);
@@ -239,7 +239,7 @@
     settle();
 }
 
-void StatementPooler::admitAnew(const GroupName& group, const ServerName& server) {
+void StatementPooler::restartSlowStart(const GroupName& group, const ServerName& server) {
     const auto found = _groups.find(group);
     if (found == _groups.end()) {
         return;
--- a/src/pooling/PrimaryWatch.cpp
+++ b/src/pooling/PrimaryWatch.cpp
@@ -39,7 +39,7 @@
     if (primary.silentSince && now - *primary.silentSince > suspectAfter) {
         return SuspicionReason::Silent;
     }
-    if (primary.lostInRow >= kLostInRow && now - primary.losingSince > kLossPatience) {
+    if (primary.consecutiveLosses >= kLostInRow && now - primary.firstLossAt > kLossPatience) {
         return SuspicionReason::StatementsLost;
     }
     return std::nullopt;
--- a/src/pooling/ServerConnections.cpp
+++ b/src/pooling/ServerConnections.cpp
@@ -146,7 +146,7 @@
         LogEvent("pooling", LogLevel::Info, "server.regained").field("server", connection.server);
     }
     server->unreachable = false;
-    server->heardAt = _clock.now();
+    server->lastSeenAt = _clock.now();
     server->idle.push_back(connection.id);
 }
 
--- a/src/pooling/ServerState.h
+++ b/src/pooling/ServerState.h
@@ -73,15 +73,15 @@
     TimePoint busyUntil{};
     Duration busyPause{0};
     /** When the server was last known to be responsive. */
-    TimePoint heardAt{};
+    TimePoint lastSeenAt{};
     /** Earliest time since which a statement is unanswered; reset by every response. */
     std::optional<TimePoint> silentSince;
     /**
      * Connections that broke instead of delivering a response since the last response, and the time
      * of the first of them.
      */
-    std::uint32_t lostInRow = 0;
-    TimePoint losingSince{};
+    std::uint32_t consecutiveLosses = 0;
+    TimePoint firstLossAt{};
     TimePoint nextConnect{};
     /** Idle connections are not verified again before this time. */
     TimePoint nextVerification{};
--- a/src/pooling/StatementPooler.cpp
+++ b/src/pooling/StatementPooler.cpp
@@ -20,12 +20,12 @@
 void StatementPooler::applyCatalog(std::shared_ptr<const ServiceCatalog> catalog) {
     _catalog = std::move(catalog);
     setLatencyTargets();
-    setTurns();
+    applyQueueSettings();
     settle();
 }
 
 /** Applies each group's settings for minimum shares and fair queueing. */
-void StatementPooler::setTurns() {
+void StatementPooler::applyQueueSettings() {
     for (const auto& [name, settings] : _catalog->groups) {
         GroupState& group = groupNamed(name);
         group.waiting.setMinimumShare(settings.minimumShare);
@@ -56,7 +56,7 @@
         GroupState& group = groupNamed(name);
         for (auto& [serverName, server] : group.servers) {
             if (!server.hasAnswered()) {
-                server.inflightLimit = firstLimit(name, server);
+                server.inflightLimit = initialLimit(name, server);
             }
         }
         _activeGroups.insert(&group);
@@ -68,7 +68,7 @@
  * after a restart of all nodes all executors send to the server at once. The limit grows with the
  * server's responses.
  */
-double StatementPooler::firstLimit(const GroupName& group, const ServerState& server) const {
+double StatementPooler::initialLimit(const GroupName& group, const ServerState& server) const {
     const double bears = server.slots * _knobs.inflightPerSlot;
     return std::max(1.0, bears / static_cast<double>(_placement.executorCount(group)));
 }
@@ -100,7 +100,7 @@
         server.zone = entry.announcement.zone;
         server.slots = std::max<std::uint32_t>(1, entry.announcement.slots);
         if (server.inflightLimit < 1) {
-            server.inflightLimit = firstLimit(name, server);
+            server.inflightLimit = initialLimit(name, server);
         }
         server.ready = !entry.removed && !entry.announcement.draining;
     }
@@ -414,7 +414,7 @@
         .field("server", operation.server)
         .field("attempts", operation.attempts)
         .field("age_ms", milliseconds(now - operation.arrivedAt))
-        .field("asked_ms", milliseconds(now - operation.firstAskedAt))
+        .field("asked_ms", milliseconds(now - operation.firstRequestedAt))
         .field("forecast_ms", milliseconds(operation.forecast))
         .field("primary", primary ? primary->server.value() : std::string("none"))
         .field("term", group.leadership.newestTerm())
--- a/src/pooling/StatementPooler.h
+++ b/src/pooling/StatementPooler.h
@@ -128,7 +128,7 @@
      * The server accepts work again as if it had just started: the in-flight limit of this node
      * restarts at one statement and grows with the server's responses.
      */
-    void admitAnew(const GroupName& group, const ServerName& server);
+    void restartSlowStart(const GroupName& group, const ServerName& server);
 
     /** @return whether this node executes the group's statements. */
     bool executesHere(const GroupName& group) const;
@@ -360,7 +360,7 @@
     Requirement readRequirement(GroupState& group, const PooledSession& session) const;
     Requirement primaryRequirement(GroupState& group, PooledSession& session);
     void wakeWhenWritable(PooledSession& session, TimePoint at);
-    const char* obstacleHere(const GroupState& group, const Operation& operation) const;
+    const char* localObstacle(const GroupState& group, const Operation& operation) const;
     bool moveToOther(const GroupState& group, PooledSession& session);
 
     // PoolerAdmission.cpp: how long a statement is held, and when its caller should retry.
@@ -370,7 +370,7 @@
     static admission::StatementClass statementClassOf(const PooledSession& session);
     TimePoint onTimeUntil(const PooledSession& session) const;
     void noteStarted(GroupState& group, const PooledSession& session);
-    void reviewWaits(GroupState& group);
+    void refuseByForecast(GroupState& group);
     void refuseAsBusy(PooledSession& session);
     void refuseQueued(PooledSession& session, Duration retryAfter);
 
@@ -386,19 +386,19 @@
     static PlacedUnit placedUnit(const PooledSession& session, bool needsPrimary);
     PlacedServer placedServer(const GroupState& group, const ServerState& server) const;
     bool refuseUnplaceable(PooledSession& session, const PlacementOutlook& outlook);
-    Duration replicaPatience(const GroupState& group, const PooledSession& session) const;
+    Duration replicaWaitLimit(const GroupState& group, const PooledSession& session) const;
     void waitForReplica(PooledSession& session, Duration wait);
     std::uint32_t executorsPerZone() const;
     std::uint32_t connectionBound() const;
     WayToServer wayTo(const ServerState& server) const;
-    double takenBy(const ServerState& server) const;
+    double inflightCapacityOf(const ServerState& server) const;
     Duration distancePenalty(const ServerState& server) const;
     bool isPrimary(const GroupState& group, const ServerState& server) const;
     bool isHalfUsed(const ServerState& server) const;
     Duration unitTimeOf(const GroupState& group, const PooledSession& session) const;
     double slownessOf(const ServerState& server) const;
     ProbePauses probePauses() const;
-    double firstLimit(const GroupName& group, const ServerState& server) const;
+    double initialLimit(const GroupName& group, const ServerState& server) const;
     bool hasRoom(const ServerState& server, const PooledSession& session) const;
     bool mayOpenFor(const ServerState& server, const Operation& operation) const;
     bool isOpening(const Operation& operation) const;
@@ -447,11 +447,11 @@
     void noteBusy(ServerState& server);
     void noteLagging(ServerState& server, OpTime floor);
     void setLatencyTargets();
-    void setTurns();
+    void applyQueueSettings();
     void noteFault(PooledSession& session, StatementFault fault);
     void notePosition(const ServerConnection& connection, OpTime position);
     void noteReadOnly(GroupState& group, const ServerName& server);
-    void tellIfChanged(const GroupState& group, const std::optional<Primary>& before);
+    void notifyIfPrimaryChanged(const GroupState& group, const std::optional<Primary>& before);
     void requeue(PooledSession& session, const char* obstacle);
     void noteLoss(const ServerConnection& connection);
     void failTransaction(PooledSession& session);
@@ -492,11 +492,11 @@
     void reviewQueued(PooledSession& session, TimePoint now);
     bool isAnswerOverdue(const Operation& operation, const ServerState* server) const;
     void reviewSent(PooledSession& session, TimePoint now);
-    void everyTick(TimePoint now);
+    void runRound(TimePoint now);
     bool reviewGroup(GroupState& group, TimePoint now);
     static bool hasConnections(const GroupState& group);
     void reportServers(const GroupName& name, GroupState& group);
-    void endRestingTransactions(TimePoint now);
+    void endIdleTransactions(TimePoint now);
     void endTransaction(PooledSession& session, const char* reason);
     bool watchPrimary(GroupState& group, TimePoint now);
     void closeLateConnections();
--- a/tests/duty/PoolingMetricsTest.cpp
+++ b/tests/duty/PoolingMetricsTest.cpp
@@ -37,8 +37,8 @@
 TEST(PoolingMetrics, ShowsSharesOfCrowdedGroups) {
     PoolingFigures figures;
     figures.pooler.groupsSharing = 2;
-    figures.pooler.loadReportsTold = 70;
-    figures.pooler.loadReportsTaken = 63;
+    figures.pooler.loadReportsSent = 70;
+    figures.pooler.loadReportsReceived = 63;
     const std::string page = renderMetrics(figures);
     CHECK_TRUE(contains(page, "coralhoist_groups_sharing 2\n"));
     CHECK_TRUE(contains(page, "coralhoist_load_reports_told_total 70\n"));
--- a/tests/forwarding/UnitLinkTest.cpp
+++ b/tests/forwarding/UnitLinkTest.cpp
@@ -213,7 +213,7 @@
     links.applyNodes({{executor, ZoneName("z"), kHost, service.port()}});
     service.startServing();
     for (int index = 0; index < 1000; ++index) {
-        links.tellLoad(executor, {NodeName("me"), group, {milliseconds(5)}, true});
+        links.sendLoadReport(executor, {NodeName("me"), group, {milliseconds(5)}, true});
     }
     const std::uint64_t told = watch.traffic.bytes(locality::TrafficPurpose::LoadReports,
                                                    locality::TrafficDirection::Sent);
@@ -374,28 +374,28 @@
     QuestionRecorder questions;
     service.setQuestionEvents({nullptr, nullptr, nullptr, &questions});
     const pooling::LoadReport report{NodeName("n1"), group, {milliseconds(30)}, true};
-    links.tellLoad(executor, report);
+    links.sendLoadReport(executor, report);
     waitFor([&] { return questions.reports.size() == 1; });
     CHECK_TRUE(questions.reports.front() == report);
     // Nobody waits for an answer, so silence does not end the link.
     clock.advance(milliseconds(5000));
     links.onTick(clock.now());
-    links.tellLoad(executor, report);
+    links.sendLoadReport(executor, report);
     waitFor([&] { return questions.reports.size() == 2; });
 }
 
 TEST(UnitLink, ANodeThatIsNotKnownOrWasLostIsToldNothing) {
     const pooling::LoadReport report{NodeName("n1"), group, {milliseconds(30)}, true};
-    links.tellLoad(NodeName("unknown"), report);
+    links.sendLoadReport(NodeName("unknown"), report);
     CHECK_FALSE(links.canReach(NodeName("unknown")));
     QTcpServer closed;
     CHECK_TRUE(closed.listen(QHostAddress(kHost)));
     const std::uint16_t port = closed.serverPort();
     closed.close();
     links.applyNodes({{executor, ZoneName("z"), kHost, port}});
-    links.tellLoad(executor, report);
+    links.sendLoadReport(executor, report);
     waitFor([&] { return !links.canReach(executor); });
-    links.tellLoad(executor, report);
+    links.sendLoadReport(executor, report);
     CHECK_FALSE(links.canReach(executor));
 }
 
--- a/tests/placement/WarmupPolicyTest.cpp
+++ b/tests/placement/WarmupPolicyTest.cpp
@@ -193,7 +193,7 @@
 
 TEST(WarmupPolicy, ATransactionThatRestsAsksForNoUnit) {
     hear(seconds(6), Duration(0));
-    CHECK_TRUE(policy.mayRest(transaction, primary).isAllowed());
+    CHECK_TRUE(policy.mayStayIdle(transaction, primary).isAllowed());
     UNSIGNED_LONGS_EQUAL(0, policy.statistics().deferred);
     CHECK_TRUE(policy.nextReview() == clock.now() + seconds(6));
 }
--- a/tests/pooling/AdmissionTest.cpp
+++ b/tests/pooling/AdmissionTest.cpp
@@ -42,7 +42,7 @@
     /**
      * Submits a read that is refused, because no read can be served without a proof of leadership.
      */
-    SessionId readInVain() {
+    SessionId submitRefusedRead() {
         fixture.advance(milliseconds(600));
         const SessionId session = read();
         fixture.advance(kHeld);
@@ -50,7 +50,7 @@
         return session;
     }
     /** Submits a read of the session. @return the time until it is refused. */
-    Duration heldAgain(SessionId session, const char* text) {
+    Duration holdingTimeOf(SessionId session, const char* text) {
         const std::size_t before = fixture.replies.size();
         fixture.submit(session, StatementVerb::Read, text);
         Duration held(0);
@@ -63,32 +63,32 @@
 };
 
 TEST(Admission, AReturnHasWhatIsLeftOfItsTime) {
-    const SessionId session = readInVain();
+    const SessionId session = submitRefusedRead();
     fixture.advance(milliseconds(10));
     // Held until 10% beyond the timeout, less the time that a statement takes.
-    CHECK_TRUE(heldAgain(session, "READ 1") <= milliseconds(70));
-    UNSIGNED_LONGS_EQUAL(1, fixture.pooler.statistics().returnsInTurn);
+    CHECK_TRUE(holdingTimeOf(session, "READ 1") <= milliseconds(70));
+    UNSIGNED_LONGS_EQUAL(1, fixture.pooler.statistics().retriesAfterRefusal);
 }
 
 TEST(Admission, AnotherStatementIsNoReturn) {
-    const SessionId session = readInVain();
-    CHECK_TRUE(heldAgain(session, "READ 2") >= kHeld);
-    UNSIGNED_LONGS_EQUAL(0, fixture.pooler.statistics().returnsInTurn);
+    const SessionId session = submitRefusedRead();
+    CHECK_TRUE(holdingTimeOf(session, "READ 2") >= kHeld);
+    UNSIGNED_LONGS_EQUAL(0, fixture.pooler.statistics().retriesAfterRefusal);
 }
 
 TEST(Admission, ATurnExpires) {
-    const SessionId session = readInVain();
+    const SessionId session = submitRefusedRead();
     fixture.advance(milliseconds(900));
-    CHECK_TRUE(heldAgain(session, "READ 1") >= kHeld);
+    CHECK_TRUE(holdingTimeOf(session, "READ 1") >= kHeld);
 }
 
 TEST(Admission, ASuccessEndsTheTurn) {
-    const SessionId session = readInVain();
+    const SessionId session = submitRefusedRead();
     fixture.pooler.confirmLeadership(fixture.group, fixture.clock.now());
     fixture.submit(session, StatementVerb::Read, "READ 1");
     fixture.succeed();
     fixture.advance(milliseconds(600));
-    CHECK_TRUE(heldAgain(session, "READ 1") >= kHeld);
+    CHECK_TRUE(holdingTimeOf(session, "READ 1") >= kHeld);
 }
 
 TEST(Admission, AUnitCountsFromTheFirstAskingAtTheNodeThatForwards) {
@@ -112,7 +112,7 @@
 }
 
 TEST(Admission, AReturnNearItsEndIsHeldForWhatAProofTakes) {
-    const SessionId session = readInVain();
+    const SessionId session = submitRefusedRead();
     fixture.advance(milliseconds(980));
     const std::size_t before = fixture.replies.size();
     fixture.submit(session, StatementVerb::Read, "READ 1");
--- a/tests/pooling/HomeRegionsTest.cpp
+++ b/tests/pooling/HomeRegionsTest.cpp
@@ -79,7 +79,7 @@
     /**
      * @return whether no command was sent to the server in the north since the homes were applied.
      */
-    bool northLeftAlone() { return pooled.connector.reached[kNorthServer] == _reachedNorth; }
+    bool northUnused() { return pooled.connector.reached[kNorthServer] == _reachedNorth; }
 
 private:
     std::size_t _reachedNorth = 0;
@@ -111,7 +111,7 @@
         homes.read();
     }
     CHECK(fixture.pendingCount() > 0);
-    CHECK_TRUE(homes.northLeftAlone());
+    CHECK_TRUE(homes.northUnused());
 }
 
 TEST(HomesAtServers, ARepetitionOfAReadStaysInAHome) {
@@ -122,7 +122,7 @@
     CHECK(fixture.pooler.statistics().hedges > 0);
     fixture.openConnections();
     fixture.advance(milliseconds(250));
-    CHECK_TRUE(homes.northLeftAlone());
+    CHECK_TRUE(homes.northUnused());
 }
 
 TEST(HomesAtServers, ARefusedReadIsRepeatedInAHome) {
@@ -133,7 +133,7 @@
         fixture.refuse(StatementFault::Busy);
         fixture.advance(milliseconds(60));
     }
-    CHECK_TRUE(homes.northLeftAlone());
+    CHECK_TRUE(homes.northUnused());
 }
 
 TEST(HomesAtServers, ValuesAndShapesOfASessionReachServersInAHomeAlone) {
@@ -143,7 +143,7 @@
     fixture.submit(session, StatementVerb::Prepare, "PREPARE p READ q", "p", "q");
     fixture.submit(session, StatementVerb::Execute, "EXECUTE p 5", "p", "5");
     UNSIGNED_LONGS_EQUAL(3, fixture.pendingCount());
-    CHECK_TRUE(homes.northLeftAlone());
+    CHECK_TRUE(homes.northUnused());
 }
 
 TEST(HomesAtServers, AWriteRunsOnceAServerInAHomeLeads) {
@@ -188,7 +188,7 @@
         homes.readAsTenant();
     }
     fixture.openConnections();
-    CHECK_TRUE(homes.northLeftAlone());
+    CHECK_TRUE(homes.northUnused());
 }
 
 TEST(HomesAtServers, ATransactionThatRestsElsewhereEndsWhenHomesComeIntoForce) {
@@ -228,7 +228,7 @@
     homes.bind({kSouth});
     fixture.acknowledge(SessionState::InTransaction);
     homes.checkFault(StatementFault::Aborted);
-    CHECK_TRUE(homes.northLeftAlone());
+    CHECK_TRUE(homes.northUnused());
 }
 
 TEST(HomesAtServers, AStatementThatWaitsIsPlacedByTheNewHomes) {
@@ -317,7 +317,7 @@
     homes.read();
     UNSIGNED_LONGS_EQUAL(0, forwarder.sent.size());
     UNSIGNED_LONGS_EQUAL(1, fixture.pendingCount());
-    CHECK_TRUE(homes.northLeftAlone());
+    CHECK_TRUE(homes.northUnused());
 }
 
 TEST(HomesAtNodes, WhatAnExecutorDeclinesStaysInAHome) {
@@ -338,7 +338,7 @@
     homes.read();
     fixture.pooler.onUnitLost(forwarder.sent.back().unit, UnitLoss::Unanswered);
     CHECK_TRUE(zoneOfLast() == kSouthZone);
-    CHECK_TRUE(homes.northLeftAlone());
+    CHECK_TRUE(homes.northUnused());
 }
 
 TEST(HomesAtNodes, AStatementOfATransactionIsNotShownToANodeThatHomesExclude) {
--- a/tests/pooling/PlannedStopTest.cpp
+++ b/tests/pooling/PlannedStopTest.cpp
@@ -26,7 +26,7 @@
 enum class Servers { Answer, Shed, Slow, Silent };
 
 /** The caller connections that a planned stop sees. */
-class OpenSessions final : public StopSurroundings {
+class OpenSessions final : public CallerFrontend {
 public:
     explicit OpenSessions(const PoolerFixture& fixture) : _fixture(fixture) {}
 
--- a/tests/pooling/PrimaryWatchTest.cpp
+++ b/tests/pooling/PrimaryWatchTest.cpp
@@ -49,8 +49,8 @@
 }
 
 TEST(PrimaryWatch, BrokenConnectionsInARowAreASign) {
-    primary.lostInRow = 5;
-    primary.losingSince = start;
+    primary.consecutiveLosses = 5;
+    primary.firstLossAt = start;
     CHECK_FALSE(after(milliseconds(500)).has_value());
     CHECK_TRUE(SuspicionReason::StatementsLost == after(milliseconds(501)));
 }
--- a/tests/pooling/RegionsTest.cpp
+++ b/tests/pooling/RegionsTest.cpp
@@ -149,7 +149,7 @@
      * Occupies the primary, which is in the own zone, with unanswered writes, so that it has no
      * capacity for reads.
      */
-    void crowdPrimary() {
+    void saturatePrimary() {
         for (int index = 0; index < 4; ++index) {
             fixture.submit(fixture.session("bounded"), StatementVerb::Write, "WRITE 1 a");
             fixture.openConnections();
@@ -186,7 +186,7 @@
 TEST(PoolerRegions, AReadGoesToAnotherZoneBeforeAnotherRegion) {
     watchRegions(milliseconds(60));
     commit(2);
-    crowdPrimary();
+    saturatePrimary();
     read();
     UNSIGNED_LONGS_EQUAL(2, readsAt("s3"));
     UNSIGNED_LONGS_EQUAL(0, readsAt("s2"));
@@ -195,7 +195,7 @@
 TEST(PoolerRegions, AReadGoesToAnotherRegionWhereTheOwnOneHasNoRoom) {
     watchRegions(milliseconds(60));
     commit(12);
-    crowdPrimary();
+    saturatePrimary();
     read();
     CHECK_TRUE(readsAt("s2") > 0);
     CHECK_TRUE(readsAt("s3") > 0);
--- a/tests/pooling/SharedServersTest.cpp
+++ b/tests/pooling/SharedServersTest.cpp
@@ -28,7 +28,7 @@
  * A primary with a few slots and a short FIFO queue; it refuses statements that find the queue
  * full.
  */
-class CrowdedServer {
+class OverloadedServer {
 public:
     struct Job {
         std::size_t executor = 0;
@@ -109,7 +109,7 @@
     void wantLeadershipProof(const GroupName& /*group*/) override {}
     void suspectPrimary(const GroupName& /*group*/, const ServerName& /*server*/,
                         SuspicionReason /*reason*/) override {}
-    void tellLoad(const NodeName& node, const LoadReport& report) override {
+    void sendLoadReport(const NodeName& node, const LoadReport& report) override {
         told.emplace_back(node, report);
     }
 
@@ -142,7 +142,7 @@
 TEST_GROUP(SharedServers) {
     testing::ManualClock clock;
     GroupName group{"g"};
-    CrowdedServer server;
+    OverloadedServer server;
     std::vector<std::unique_ptr<Executor>> executors;
     std::set<std::pair<std::size_t, std::size_t>> cut;
     Duration reportDelay = milliseconds(1);
@@ -157,14 +157,14 @@
             if (shared) {
                 executors.back()->pooler.setLoadReporter(*executors.back());
             }
-            seeNodes(index, shared ? kExecutors : 1);
+            setKnownNodes(index, shared ? kExecutors : 1);
             applyGroup(executors.back()->pooler);
         }
         play(milliseconds(1000));
     }
 
     /** Sets the first `count` nodes as the nodes that the executor knows. */
-    void seeNodes(std::size_t index, std::size_t count) {
+    void setKnownNodes(std::size_t index, std::size_t count) {
         std::vector<ProxyNode> nodes;
         for (std::size_t other = 0; other < count; ++other) {
             nodes.push_back({nodeName(other), zoneName(other), "10.0.0.1", 1});
@@ -208,7 +208,7 @@
 
     void step() {
         const TimePoint now = clock.now();
-        for (const CrowdedServer::Job& job : server.finish(now)) {
+        for (const OverloadedServer::Job& job : server.finish(now)) {
             answer(job.executor, job.connection, true);
         }
         deliverReports(now);
@@ -405,14 +405,14 @@
 TEST(SharedServers, TwoViewsOfWhoExecutesDoLittleHarm) {
     start(true);
     for (std::size_t index = 0; index < 4; ++index) {
-        seeNodes(index, 4);
+        setKnownNodes(index, 4);
     }
     demand(kUneven);
     play(milliseconds(4000));
     print("two views");
     CHECK_TRUE(refusedPart() < 0.05);
     for (std::size_t index = 0; index < 4; ++index) {
-        seeNodes(index, kExecutors);
+        setKnownNodes(index, kExecutors);
     }
     play(milliseconds(500));
     forgetCounts();
--- a/tests/pooling/TurnsTest.cpp
+++ b/tests/pooling/TurnsTest.cpp
@@ -15,7 +15,7 @@
  * Number of statements by which a flow may be ahead and still count as served equally: 50 ms of
  * unknown slot times.
  */
-constexpr std::size_t kTurnsAlike = 3;
+constexpr std::size_t kEqualTurns = 3;
 
 TEST_GROUP(Turns) {
     PoolerFixture fixture;
@@ -70,7 +70,7 @@
     const std::size_t sent = fixture.pendingCount();
     const SessionId session = write("current", "other");
     // One statement is served while the tenant's connection is being opened.
-    LONGS_EQUAL(sent + kTurnsAlike + 1, repliesBefore(session));
+    LONGS_EQUAL(sent + kEqualTurns + 1, repliesBefore(session));
 }
 
 TEST(Turns, AFloodOfARankLeavesTheNextItsMinimumShare) {
@@ -95,7 +95,7 @@
     flood("bounded", "");
     const std::size_t sent = fixture.pendingCount();
     const SessionId session = write("own", "");
-    LONGS_EQUAL(sent + kTurnsAlike, repliesBefore(session));
+    LONGS_EQUAL(sent + kEqualTurns, repliesBefore(session));
 }
 
 TEST(Turns, OtherwiseServicesGoInTheOrderOfArrival) {
--- a/tests/pooling/UnevenServersTest.cpp
+++ b/tests/pooling/UnevenServersTest.cpp
@@ -29,7 +29,7 @@
     }
 
     /** Occupies the primary with unanswered writes, so that it has no capacity. */
-    void crowdPrimary() {
+    void saturatePrimary() {
         for (int index = 0; index < 4; ++index) {
             fixture.submit(fixture.session("bounded"), StatementVerb::Write, "WRITE 1 a");
             fixture.openConnections();
@@ -85,7 +85,7 @@
     fixture.advance(milliseconds(50));
     const SessionId late = committed(200);
     fixture.advance(milliseconds(50));
-    crowdPrimary();
+    saturatePrimary();
     read(late);
     refuseAt("s2", 150);
     refuseAt("s3", 150);
@@ -112,7 +112,7 @@
         sessions.push_back(committed(200));
     }
     fixture.advance(milliseconds(50));
-    crowdPrimary();
+    saturatePrimary();
     read(sessions.back());
     sessions.pop_back();
     refuseAt("s2", 150);
@@ -134,7 +134,7 @@
     const SessionId first = committed(200);
     const SessionId second = committed(200);
     fixture.advance(milliseconds(50));
-    crowdPrimary();
+    saturatePrimary();
     read(first);
     refuseAt("s2", 150);
     refuseAt("s3", 210);
