--- a/tests/pooling/AdmissionTest.cpp
+++ b/tests/pooling/AdmissionTest.cpp
@@ -62,7 +62,7 @@
     }
 };
 
-TEST(Admission, AReturnHasWhatIsLeftOfItsTime) {
+TEST(Admission, ARetryIsHeldForItsRemainingTime) {
     const SessionId session = submitRefusedRead();
     fixture.advance(milliseconds(10));
     // Held until 10% beyond the timeout, less the time that a statement takes.
@@ -70,19 +70,19 @@
     UNSIGNED_LONGS_EQUAL(1, fixture.pooler.statistics().retriesAfterRefusal);
 }
 
-TEST(Admission, AnotherStatementIsNoReturn) {
+TEST(Admission, ADifferentStatementIsNotARetry) {
     const SessionId session = submitRefusedRead();
     CHECK_TRUE(holdingTimeOf(session, "READ 2") >= kHeld);
     UNSIGNED_LONGS_EQUAL(0, fixture.pooler.statistics().retriesAfterRefusal);
 }
 
-TEST(Admission, ATurnExpires) {
+TEST(Admission, TheRecordOfARefusalExpires) {
     const SessionId session = submitRefusedRead();
     fixture.advance(milliseconds(900));
     CHECK_TRUE(holdingTimeOf(session, "READ 1") >= kHeld);
 }
 
-TEST(Admission, ASuccessEndsTheTurn) {
+TEST(Admission, ASuccessClearsTheRecordOfARefusal) {
     const SessionId session = submitRefusedRead();
     fixture.pooler.confirmLeadership(fixture.group, fixture.clock.now());
     fixture.submit(session, StatementVerb::Read, "READ 1");
@@ -91,7 +91,7 @@
     CHECK_TRUE(holdingTimeOf(session, "READ 1") >= kHeld);
 }
 
-TEST(Admission, AUnitCountsFromTheFirstAskingAtTheNodeThatForwards) {
+TEST(Admission, AUnitIsTimedFromTheFirstRequestAtTheForwardingNode) {
     fixture.advance(milliseconds(600));
     readForwarded(milliseconds(800), std::nullopt);
     fixture.advance(milliseconds(380));
@@ -104,14 +104,14 @@
  * The time spent at another executor is counted once: it shortens the useful time and is not
  * counted as waiting time too.
  */
-TEST(Admission, AUnitThatComesFromAnotherExecutorHasTheTimeThatIsLeft) {
+TEST(Admission, AUnitFromAnotherExecutorIsHeldForItsRemainingTime) {
     fixture.advance(milliseconds(600));
     readForwarded(milliseconds(380), milliseconds(380));
     fixture.advance(milliseconds(300));
     UNSIGNED_LONGS_EQUAL(0, fixture.replies.size());
 }
 
-TEST(Admission, AReturnNearItsEndIsHeldForWhatAProofTakes) {
+TEST(Admission, ALateRetryIsHeldForTheTimeThatAProofTakes) {
     const SessionId session = submitRefusedRead();
     fixture.advance(milliseconds(980));
     const std::size_t before = fixture.replies.size();
@@ -120,7 +120,7 @@
     UNSIGNED_LONGS_EQUAL(before, fixture.replies.size());
 }
 
-TEST(Admission, ACallerThatLeftLeavesTheQueueAtOnce) {
+TEST(Admission, ADisconnectedCallerIsRemovedFromTheQueueAtOnce) {
     std::vector<SessionId> sessions;
     sessions.reserve(8);
     for (int index = 0; index < 8; ++index) {
@@ -140,7 +140,7 @@
     UNSIGNED_LONGS_EQUAL(0, fixture.replies.size());
 }
 
-TEST(Admission, WhatAServerThatStandsStillWillNotServeIsRefusedBeforeItsTimeIsOver) {
+TEST(Admission, StatementsForAStalledServerAreRefusedBeforeTheirTimeout) {
     for (int index = 0; index < 60; ++index) {
         fixture.submit(fixture.session("current"), StatementVerb::Write, "WRITE 1 a");
     }
@@ -156,7 +156,7 @@
     }
 }
 
-TEST(Admission, WithoutWaitingNothingIsRefusedByForecast) {
+TEST(Admission, BeforeAnyWaitNothingIsRefusedByForecast) {
     for (int index = 0; index < 60; ++index) {
         fixture.submit(fixture.session("current"), StatementVerb::Write, "WRITE 1 a");
     }
--- a/tests/pooling/ForwardingTest.cpp
+++ b/tests/pooling/ForwardingTest.cpp
@@ -61,7 +61,7 @@
     }
 };
 
-TEST(Forwarding, AStatementGoesWithWhatTheExecutorNeedsToKnow) {
+TEST(Forwarding, AStatementIsForwardedWithTheStateThatTheExecutorNeeds) {
     const SessionId session = fixture.session("bounded");
     fixture.submit(session, StatementVerb::Set, "SET a 1", "a", "1");
     fixture.submit(session, StatementVerb::Prepare, "PREPARE p READ q", "p", "q");
@@ -79,7 +79,7 @@
     STRCMP_EQUAL("sig", fixture.replies.back().result.signature.c_str());
 }
 
-TEST(Forwarding, AReturnTellsTheExecutorSinceWhenItIsAskedFor) {
+TEST(Forwarding, ARetryReportsItsFirstRequestTimeToTheExecutor) {
     const SessionId session = fixture.session("bounded");
     fixture.submit(session, StatementVerb::Read, "READ 1");
     CHECK_TRUE(forwarder.sent.back().opening->waited == Duration(0));
@@ -90,7 +90,7 @@
     CHECK_TRUE(forwarder.sent.back().opening->waited == milliseconds(220));
 }
 
-TEST(Forwarding, ATurnGoesOnElsewhereWhenItsExecutorIsLost) {
+TEST(Forwarding, ARetryKeepsItsFirstRequestTimeWhenItsExecutorIsLost) {
     const SessionId session = fixture.session("bounded");
     fixture.submit(session, StatementVerb::Read, "READ 1");
     answer(failure(StatementFault::Busy, SessionState::Idle));
@@ -103,7 +103,7 @@
     CHECK_TRUE(forwarder.sent.back().opening->waited == milliseconds(150));
 }
 
-TEST(Forwarding, TheFloorOfOwnCommitsComesBackAndTravelsOn) {
+TEST(Forwarding, TheFloorOfOwnCommitsIsReturnedAndForwarded) {
     const SessionId session = fixture.session("own");
     fixture.submit(session, StatementVerb::Write, "WRITE 1 a");
     answer(success(SessionState::Idle, {1, 77}));
@@ -240,7 +240,7 @@
     UNSIGNED_LONGS_EQUAL(replies, fixture.replies.size());
 }
 
-TEST(Forwarding, ARestingTransactionOfAnotherNodeIsEnded) {
+TEST(Forwarding, AnIdleTransactionOnAnotherNodeIsEnded) {
     const SessionId session = begin();
     fixture.submit(session, StatementVerb::Read, "READ 1");
     answer(success(SessionState::InTransaction));
@@ -250,7 +250,7 @@
     CHECK_TRUE(hasFault(fixture.replies.back(), StatementFault::Aborted));
 }
 
-TEST(Forwarding, ThisNodeExecutesWhatNoExecutorCanBeReachedFor) {
+TEST(Forwarding, ThisNodeExecutesStatementsWithoutAReachableExecutor) {
     for (int index = 0; index < kNodes; ++index) {
         forwarder.unreachable.insert(NodeName("n" + std::to_string(index)));
     }
@@ -308,7 +308,7 @@
  * A node that the primary still refuses 2 s after a restart must not hold the statements that need
  * the primary.
  */
-TEST(ForwardingOfExecutors, WhatNeedsAPrimaryThatRefusesConnectionsGoesToAnotherNode) {
+TEST(ForwardingOfExecutors, StatementsForAPrimaryThatRefusesConnectionsGoToAnotherNode) {
     losePrimaryConnections();
     refuseConnections(StatementFault::ConnectionLimit);
     const std::string id =
@@ -335,7 +335,7 @@
     UNSIGNED_LONGS_EQUAL(0, forwarder.sent.size());
 }
 
-TEST(ForwardingOfExecutors, WhatNeedsASilentPrimaryGoesToAnotherNode) {
+TEST(ForwardingOfExecutors, StatementsForASilentPrimaryGoToAnotherNode) {
     fixture.submit(fixture.session("current"), StatementVerb::Write, "WRITE 1 a");
     UNSIGNED_LONGS_EQUAL(1, fixture.pendingCount());
     fixture.advance(milliseconds(200));
@@ -343,7 +343,7 @@
     UNSIGNED_LONGS_EQUAL(1, forwarder.sent.size());
 }
 
-TEST(ForwardingOfExecutors, AReadWhoseProofDoesNotComeGoesToAnotherNode) {
+TEST(ForwardingOfExecutors, AReadWithoutAProofOfLeadershipGoesToAnotherNode) {
     fixture.advance(milliseconds(600));
     fixture.submit(fixture.session("current"), StatementVerb::Read, "READ 1");
     UNSIGNED_LONGS_EQUAL(0, forwarder.sent.size());
@@ -352,7 +352,7 @@
     UNSIGNED_LONGS_EQUAL(0, fixture.pendingCount());
 }
 
-TEST(ForwardingOfExecutors, AnExecutorServesItselfWhatItCan) {
+TEST(ForwardingOfExecutors, AnExecutorRunsTheStatementsThatItCanServe) {
     fixture.submit(fixture.session("current"), StatementVerb::Write, "WRITE 1 a");
     UNSIGNED_LONGS_EQUAL(0, forwarder.sent.size());
     UNSIGNED_LONGS_EQUAL(1, fixture.pendingCount());
@@ -382,7 +382,7 @@
     UNSIGNED_LONGS_EQUAL(3, connector.opening.size());
 }
 
-TEST(Forwarding, AForwardedUnitIsExecutedHereWhateverThePlacementSays) {
+TEST(Forwarding, AForwardedUnitIsExecutedHereRegardlessOfPlacement) {
     UnitOpening opening;
     opening.service = ServiceName("unknown here");
     opening.group = fixture.group;
--- a/tests/pooling/HomeRegionsTest.cpp
+++ b/tests/pooling/HomeRegionsTest.cpp
@@ -105,7 +105,7 @@
     }
 };
 
-TEST(HomesAtServers, ReadsUseServersInAHomeHoweverManyThereAre) {
+TEST(HomesAtServers, AllReadsUseServersInAHomeRegion) {
     homes.bind({kSouth});
     for (int count = 0; count < 10; ++count) {
         homes.read();
@@ -157,7 +157,7 @@
     STRCMP_EQUAL("s2", fixture.pending().server.value().c_str());
 }
 
-TEST(HomesAtServers, AWriteThatAPrimaryElsewhereWouldRunIsRefusedAtOnce) {
+TEST(HomesAtServers, AWriteForAPrimaryOutsideTheHomesIsRefusedAtOnce) {
     homes.bind({kSouth});
     write();
     UNSIGNED_LONGS_EQUAL(0, fixture.pendingCount());
@@ -202,7 +202,7 @@
                      [](const SentCommand& sent) { return sent.command.text == "WRITE 2 b"; }));
 }
 
-TEST(HomesAtServers, AnAnswerUnderWayIsDeliveredAndTheNextStatementIsNotSent) {
+TEST(HomesAtServers, APendingResponseIsDeliveredAndTheNextStatementIsNotSent) {
     const SessionId session = openTransaction();
     fixture.submit(session, StatementVerb::Write, "WRITE 2 b");
     homes.bind({kSouth});
@@ -213,7 +213,7 @@
     UNSIGNED_LONGS_EQUAL(0, fixture.pendingCount());
 }
 
-TEST(HomesAtServers, ACommitUnderWayIsToldAsItEnded) {
+TEST(HomesAtServers, TheOutcomeOfAPendingCommitIsReported) {
     const SessionId session = openTransaction();
     fixture.submit(session, StatementVerb::Commit, "COMMIT");
     homes.bind({kSouth});
@@ -241,7 +241,7 @@
     homes.checkFault(StatementFault::Busy);
 }
 
-TEST(HomesAtServers, HomesThatAreTakenAwayLeaveEveryServer) {
+TEST(HomesAtServers, WithoutHomesEveryServerIsAllowed) {
     homes.bind({kSouth});
     homes.bind({});
     write();
@@ -311,7 +311,7 @@
     CHECK_TRUE(zoneOfLast() == kSouthZone);
 }
 
-TEST(HomesAtNodes, ThisNodeExecutesWhatNoNodeInAHomeCanBeReachedFor) {
+TEST(HomesAtNodes, ThisNodeExecutesStatementsWithoutAReachableNodeInAHome) {
     homes.bind({kSouth});
     cut(kSouthZone);
     homes.read();
@@ -320,7 +320,7 @@
     CHECK_TRUE(homes.northUnused());
 }
 
-TEST(HomesAtNodes, WhatAnExecutorDeclinesStaysInAHome) {
+TEST(HomesAtNodes, ADeclinedStatementStaysInAHome) {
     homes.bind({kSouth});
     homes.read();
     const std::size_t sent = forwarder.sent.size();
@@ -372,7 +372,7 @@
     UNSIGNED_LONGS_EQUAL(sent + 1, forwarder.sent.size());
 }
 
-TEST(HomesAtNodes, HomesWithoutARegionInCommonAreShownToNobody) {
+TEST(HomesAtNodes, WithoutACommonHomeRegionNothingIsForwarded) {
     homes.tenantHomes = {kNorth};
     homes.bind({kSouth});
     homes.readAsTenant();
--- a/tests/pooling/LateAnswerTest.cpp
+++ b/tests/pooling/LateAnswerTest.cpp
@@ -119,7 +119,7 @@
     CHECK_TRUE(fixture.replies[2].result.succeeded());
 }
 
-TEST(LateAnswer, AReadOfAnEarlierTermTellsNothingOfTheLogOfALaterOne) {
+TEST(LateAnswer, AReadOfAnEarlierTermProvesNothingAboutTheLogOfALaterTerm) {
     const SessionId session = fixture.session("current");
     fixture.submit(session, StatementVerb::BeginReadOnly, "BEGIN READ");
     fixture.submit(session, StatementVerb::Read, "READ 1");
--- a/tests/pooling/ManyGroupsTest.cpp
+++ b/tests/pooling/ManyGroupsTest.cpp
@@ -85,7 +85,7 @@
 
 TEST_GROUP(ManyGroups){};
 
-TEST(ManyGroups, ACalmNodeLooksOnlyAtGroupsThatItExecutes) {
+TEST(ManyGroups, AnIdleNodeVisitsOnlyGroupsThatItExecutes) {
     for (const int groups : {kFew, kMany}) {
         Estate estate(groups);
         estate.visitsIn(std::chrono::seconds(30));
@@ -108,7 +108,7 @@
     }
 }
 
-TEST(ManyGroups, AChangeOfOneGroupCostsALookAtThatGroup) {
+TEST(ManyGroups, AChangeOfOneGroupCausesOneVisitOfThatGroup) {
     for (const int groups : {kFew, kMany}) {
         Estate estate(groups);
         estate.visitsIn(kRound * 2);
@@ -178,7 +178,7 @@
     CHECK(fixture.proofsWanted > 0);
 }
 
-TEST(GroupAtRest, AStatementBringsItBackIntoTheRoundsUntilNothingIsLeft) {
+TEST(GroupAtRest, AStatementReactivatesTheGroupUntilNothingIsLeft) {
     const std::size_t atRest = fixture.pooler.activeGroups();
     prove();
     read();
--- a/tests/pooling/PlacementPolicyTest.cpp
+++ b/tests/pooling/PlacementPolicyTest.cpp
@@ -79,7 +79,7 @@
     }
 };
 
-TEST(PoolerPlacement, WhatOnlyAForbiddenServerCanRunIsRefusedAtOnce) {
+TEST(PoolerPlacement, AStatementThatOnlyAForbiddenServerCanRunIsRefusedAtOnce) {
     forbid(primary);
     write();
     UNSIGNED_LONGS_EQUAL(0, fixture.pendingCount());
@@ -134,7 +134,7 @@
     CHECK_TRUE(SessionState::Idle == fixture.replies.back().result.state);
 }
 
-TEST(PoolerPlacement, ATransactionThatRestsIsEndedByAReview) {
+TEST(PoolerPlacement, AnIdleTransactionIsEndedByAReview) {
     const SessionId session = openTransaction();
     forbid(primary);
     fixture.pooler.reviewPlacement();
@@ -151,7 +151,7 @@
     UNSIGNED_LONGS_EQUAL(1, fixture.connector.closed.size());
 }
 
-TEST(PoolerPlacement, WhatRunsWhenItsServerIsForbiddenIsAnsweredAndEndsThere) {
+TEST(PoolerPlacement, AStatementRunningOnANewlyForbiddenServerIsAnswered) {
     const SessionId session = openTransaction();
     fixture.submit(session, StatementVerb::Commit, "COMMIT");
     forbid(primary);
@@ -183,13 +183,13 @@
     CHECK_TRUE(fixture.replies.back().result.succeeded());
 }
 
-TEST(PoolerPlacement, EachStatementOfACallerIsToldThatIsSent) {
+TEST(PoolerPlacement, ThePolicyIsNotifiedOfEachStatementSent) {
     openTransaction();
     LONGS_EQUAL(2, policy.sent[primary]);
 }
 
 /** The connections of a silent server are closed; the server may restart in the meantime. */
-TEST(PoolerPlacement, AServerThatGoesSilentIsToldAsLost) {
+TEST(PoolerPlacement, ThePolicyIsNotifiedOfASilentServerAsLost) {
     const SessionId session = fixture.session("current");
     fixture.submit(session, StatementVerb::Write, "WRITE 1 a");
     fixture.pooler.endSession(session);
--- a/tests/pooling/PoolerTest.cpp
+++ b/tests/pooling/PoolerTest.cpp
@@ -318,7 +318,7 @@
     CHECK_TRUE(fixture.suspicions.empty());
 }
 
-TEST(StatementPooler, AServerThatRefusesIsSentNothingForAWhileThatGrows) {
+TEST(StatementPooler, SendingToARefusingServerPausesForIncreasingTimes) {
     Duration lastPause{0};
     for (int refusal = 0; refusal < 5; ++refusal) {
         write("own");
@@ -345,7 +345,7 @@
     CHECK_TRUE(lastPause >= milliseconds(120));
 }
 
-TEST(StatementPooler, TheFirstLimitIsAShareOfWhatTheServerBears) {
+TEST(StatementPooler, TheInitialLimitIsAShareOfTheServersCapacity) {
     // Three slots allow four statements in flight; with six executors each one starts with one.
     std::vector<ProxyNode> nodes;
     for (const char* name : {"n1", "n2", "n3", "n4", "n5"}) {
@@ -387,7 +387,7 @@
 }
 
 /** With two slots per server, an overload would otherwise delay all kinds of statements alike. */
-TEST(StatementPooler, OfTheStatementsThatAreOnTimeThoseThatTakeLessGoFirst) {
+TEST(StatementPooler, OnTimeStatementsAreOrderedByShortestSlotTime) {
     observeSlotTimes();
     const std::string occupying = write("own");
     std::vector<std::string> dear;
@@ -403,7 +403,7 @@
     STRCMP_EQUAL(dear.front().c_str(), fixture.pending().command.id.c_str());
 }
 
-TEST(StatementPooler, AStatementThatIsNoLongerOnTimeGivesWayHoweverLittleItTakes) {
+TEST(StatementPooler, ALateStatementYieldsRegardlessOfItsSlotTime) {
     observeSlotTimes();
     write("own");
     const std::string late = write("bounded");
@@ -487,7 +487,7 @@
     UNSIGNED_LONGS_EQUAL(1, fixture.closedSessions.size());
 }
 
-TEST(StatementPooler, ATransactionThatRestsTooLongIsRolledBack) {
+TEST(StatementPooler, ATransactionIdleForTooLongIsRolledBack) {
     const SessionId session = fixture.session("current");
     fixture.submit(session, StatementVerb::Begin, "BEGIN");
     fixture.submit(session, StatementVerb::Read, "READ 1");
@@ -521,7 +521,7 @@
 }
 
 /** A review that is due immediately would keep the event loop busy until the promotion is over. */
-TEST(StatementPooler, AWriteThatWaitsForAPromotionAsksForNoLookAtOnce) {
+TEST(StatementPooler, AWriteThatWaitsForAPromotionSchedulesNoImmediateTick) {
     PromotionNotice notice;
     notice.phase = PromotionPhase::Preparing;
     notice.version.revision = 5;
--- a/tests/pooling/RegionsTest.cpp
+++ b/tests/pooling/RegionsTest.cpp
@@ -85,7 +85,7 @@
     UNSIGNED_LONGS_EQUAL(1, crossing);
 }
 
-TEST(ReaderTreeRegions, WithTheFirstOfARegionLostAnotherOneAsksAcross) {
+TEST(ReaderTreeRegions, WhenTheFirstNodeOfARegionIsLostAnotherOneAsksAcross) {
     for (const ProxyNode& self : nodes) {
         std::vector<NodeName> candidates = candidatesOf(self, nodes, regions);
         if (!candidates.empty()) {
@@ -121,7 +121,7 @@
     DOUBLES_EQUAL(1, way.inflightPerRunning(Duration(0)), 0);
 }
 
-TEST(WayToServer, WhatIsOnTheWayIsInFlightAndRunsNowhere) {
+TEST(WayToServer, StatementsInTransitAreInFlightButOccupyNoSlot) {
     const WayToServer way{milliseconds(60)};
     CHECK_TRUE(way.atServer(milliseconds(90)) == milliseconds(30));
     CHECK_TRUE(way.atServer(milliseconds(50)) == Duration(0));
@@ -192,7 +192,7 @@
     UNSIGNED_LONGS_EQUAL(0, readsAt("s2"));
 }
 
-TEST(PoolerRegions, AReadGoesToAnotherRegionWhereTheOwnOneHasNoRoom) {
+TEST(PoolerRegions, AReadGoesToAnotherRegionWhenTheOwnRegionHasNoCapacity) {
     watchRegions(milliseconds(60));
     commit(12);
     saturatePrimary();
@@ -202,7 +202,7 @@
 }
 
 /** The primary's limit has grown to its maximum, and the load exceeds the primary's capacity. */
-TEST(PoolerRegions, AFarPrimaryHasWhatItTakesBesideWhatIsOnTheWay) {
+TEST(PoolerRegions, TheLimitOfARemotePrimaryIncludesStatementsInTransit) {
     const auto inFlightAt = [](Duration roundTrip) {
         PoolerFixture far;
         const locality::RegionMap places{
--- a/tests/pooling/SharedServersTest.cpp
+++ b/tests/pooling/SharedServersTest.cpp
@@ -421,7 +421,7 @@
     CHECK_TRUE(refusedPart() < 0.01);
 }
 
-TEST(SharedServers, AZoneThatEmptiesGivesWayWithinASecond) {
+TEST(SharedServers, AnIdleZoneReleasesItsShareWithinASecond) {
     start(true);
     demand({200, 160, 30, 30, 20, 20, 20, 20});
     play(milliseconds(3000));
@@ -435,7 +435,7 @@
     CHECK_TRUE(server.arrivals > 280);
 }
 
-TEST(SharedServers, WhatFitsTheServersTellsNothing) {
+TEST(SharedServers, LoadWithinCapacityCausesNoReports) {
     start(true);
     demand({40, 30, 30, 30, 30, 20, 20, 20});
     play(milliseconds(3000));
--- a/tests/pooling/TurnsTest.cpp
+++ b/tests/pooling/TurnsTest.cpp
@@ -64,7 +64,7 @@
     }
 };
 
-TEST(Turns, AFloodOfOneTenantTakesNoTurnOfAnother) {
+TEST(Turns, AFloodOfOneTenantDoesNotDelayAnother) {
     fixture.pooler.setCallersHaveTenants(true);
     flood("current", "flood");
     const std::size_t sent = fixture.pendingCount();
