--- a/src/pooling/PoolerAdmission.cpp
+++ b/src/pooling/PoolerAdmission.cpp
@@ -149,11 +149,11 @@
 /** Refuses a statement that was not sent, and tells the caller when a retry may succeed. */
 void StatementPooler::refuseAsBusy(PooledSession& session) {
     GroupState& group = groupOf(session);
-    const bool leaderless =
+    const bool withoutPrimary =
         !group.leadership.primary() || group.leadership.notice().phase != PromotionPhase::None;
-    const auto pause = leaderless ? kRetryDelayAfterPromotion : kRetryDelayAfterOverload;
+    const auto pause = withoutPrimary ? kRetryDelayAfterPromotion : kRetryDelayAfterOverload;
     const TimePoint now = _clock.now();
-    const bool queued = obstacleWithoutQueue(*session.operation).empty() && !leaderless;
+    const bool queued = obstacleWithoutQueue(*session.operation).empty() && !withoutPrimary;
     session.operation->forecast = group.admission.waitOfNext(statementClassOf(session), now);
     group.waiting.remove(session.id);
     refuseQueued(session, queued ? group.admission.turnAfter(now, statementClassOf(session),
--- a/src/pooling/PoolerStop.cpp
+++ b/src/pooling/PoolerStop.cpp
@@ -20,14 +20,14 @@
 
 void StatementPooler::finishWork() {
     _stopping = true;
-    std::vector<SessionId> resting;
+    std::vector<SessionId> idleSessions;
     for (const SessionId id : _openTransactions) {
         const PooledSession& session = _sessions.at(id);
         if (!session.operation && session.transaction.phase != TransactionPhase::Failed) {
-            resting.push_back(id);
+            idleSessions.push_back(id);
         }
     }
-    for (const SessionId id : resting) {
+    for (const SessionId id : idleSessions) {
         endTransaction(_sessions.at(id), kStopping);
     }
     settle();
--- a/src/pooling/PoolerTimers.cpp
+++ b/src/pooling/PoolerTimers.cpp
@@ -87,10 +87,10 @@
     }
     const TimePoint now = _clock.now();
     const bool silent = server->silentSince && now - *server->silentSince >= _knobs.hedgeAfter;
-    const Duration patience =
+    const Duration responseTimeout =
         std::max(_knobs.hedgeAfter, server->latency * _knobs.hedgeAfterLatencies) +
         wayTo(*server).roundTrip;
-    return silent || now - operation.sentAt >= patience;
+    return silent || now - operation.sentAt >= responseTimeout;
 }
 
 void StatementPooler::reviewSent(PooledSession& session, TimePoint now) {
@@ -195,16 +195,16 @@
 }
 
 void StatementPooler::endIdleTransactions(TimePoint now) {
-    std::vector<SessionId> resting;
+    std::vector<SessionId> idleSessions;
     for (const SessionId id : _openTransactions) {
         const PooledSession& session = _sessions.at(id);
-        const Duration rest = now - session.transaction.lastActivity;
+        const Duration idleFor = now - session.transaction.lastActivity;
         const bool open = session.transaction.phase == TransactionPhase::Open;
-        if (open && !session.operation && rest > session.settings.idleInTransactionTimeout) {
-            resting.push_back(id);
+        if (open && !session.operation && idleFor > session.settings.idleInTransactionTimeout) {
+            idleSessions.push_back(id);
         }
     }
-    for (const SessionId id : resting) {
+    for (const SessionId id : idleSessions) {
         endTransaction(_sessions.at(id), "rested for too long");
     }
 }
@@ -213,10 +213,10 @@
     std::vector<std::pair<SessionId, const char*>> ending;
     for (const SessionId id : _openTransactions) {
         const PooledSession& session = _sessions.at(id);
-        const bool rests = session.transaction.phase == TransactionPhase::Open &&
-                           session.transaction.connection && !session.operation;
+        const bool isIdle = session.transaction.phase == TransactionPhase::Open &&
+                            session.transaction.connection && !session.operation;
         const ServerConnection* connection =
-            rests ? _connections.find(*session.transaction.connection) : nullptr;
+            isIdle ? _connections.find(*session.transaction.connection) : nullptr;
         const ServerState* server = connection == nullptr ? nullptr : serverOf(*connection);
         if (_policy == nullptr || server == nullptr) {
             continue;
--- a/src/pooling/StatementPooler.cpp
+++ b/src/pooling/StatementPooler.cpp
@@ -69,8 +69,8 @@
  * server's responses.
  */
 double StatementPooler::initialLimit(const GroupName& group, const ServerState& server) const {
-    const double bears = server.slots * _knobs.inflightPerSlot;
-    return std::max(1.0, bears / static_cast<double>(_placement.executorCount(group)));
+    const double capacity = server.slots * _knobs.inflightPerSlot;
+    return std::max(1.0, capacity / static_cast<double>(_placement.executorCount(group)));
 }
 
 bool StatementPooler::executesHere(const GroupName& group) const {
--- a/tests/pooling/PoolerTest.cpp
+++ b/tests/pooling/PoolerTest.cpp
@@ -390,9 +390,9 @@
 TEST(StatementPooler, OnTimeStatementsAreOrderedByShortestSlotTime) {
     observeSlotTimes();
     const std::string occupying = write("own");
-    std::vector<std::string> dear;
+    std::vector<std::string> expensive;
     for (int index = 0; index < 6; ++index) {
-        dear.push_back(write("own"));
+        expensive.push_back(write("own"));
     }
     const std::string cheap = write("bounded");
     STRCMP_EQUAL(occupying.c_str(), fixture.pending().command.id.c_str());
@@ -400,7 +400,7 @@
     fixture.succeed();
     STRCMP_EQUAL(cheap.c_str(), fixture.pending().command.id.c_str());
     fixture.succeed();
-    STRCMP_EQUAL(dear.front().c_str(), fixture.pending().command.id.c_str());
+    STRCMP_EQUAL(expensive.front().c_str(), fixture.pending().command.id.c_str());
 }
 
 TEST(StatementPooler, ALateStatementYieldsRegardlessOfItsSlotTime) {
