--- a/src/pooling/PoolerTimers.cpp
+++ b/src/pooling/PoolerTimers.cpp
@@ -205,7 +205,7 @@
         }
     }
     for (const SessionId id : idleSessions) {
-        endTransaction(_sessions.at(id), "rested for too long");
+        endTransaction(_sessions.at(id), "idle in transaction for too long");
     }
 }
 
