--- a/src/pooling/PoolerResults.cpp
+++ b/src/pooling/PoolerResults.cpp
@@ -1,4 +1,4 @@
-/** What servers answer, and what follows from it. */
+/** Handling of servers' responses. */
 #include <algorithm>
 #include <utility>
 
@@ -9,9 +9,9 @@
 namespace coralhoist::pooling {
 namespace {
 
-/** A statement is given up as not run after so many attempts. */
+/** Number of attempts after which a statement is abandoned as not run. */
 constexpr std::uint32_t kMaximumAttempts = 12;
-/** Weight of a new latency: one in so many. */
+/** Weight of a new latency sample is 1/n. */
 constexpr int kLatencySmoothing = 6;
 
 bool isRetryable(StatementFault fault) {
@@ -43,14 +43,14 @@
     const AwaitedResult awaited = connection->awaited.front();
     connection->awaited.pop_front();
     if (ServerState* server = serverOf(*connection)) {
-        server->heardAt = _clock.now();
+        server->lastSeenAt = _clock.now();
         if (awaited == AwaitedResult::Statement) {
-            // Answers to the proxy's own commands do not show that it serves callers.
-            server->lostInRow = 0;
+            // Responses to the proxy's own commands do not show that the server serves callers.
+            server->consecutiveLosses = 0;
         }
         server->silentSince.reset();
         if (server->inflight > 1) {
-            server->silentSince = server->heardAt;
+            server->silentSince = server->lastSeenAt;
         }
     }
     notePosition(*connection, result.position);
@@ -119,7 +119,10 @@
     }
 }
 
-/** Only what ran tells how long the server takes; a refusal is quick and tells the opposite. */
+/**
+ * Only a statement that ran shows how long the server takes; a refusal is fast and indicates the
+ * opposite.
+ */
 void StatementPooler::noteLatency(ServerConnection& connection, PooledSession& session) {
     ServerState* server = serverOf(connection);
     if (server == nullptr) {
@@ -138,11 +141,11 @@
         lowerLimit(*server, _knobs.latencyDecrease);
         return;
     }
-    server->inflightLimit =
-        std::min(server->inflightLimit + _knobs.inflightIncrease, std::max(1.0, takenBy(*server)));
+    server->inflightLimit = std::min(server->inflightLimit + _knobs.inflightIncrease,
+                                     std::max(1.0, inflightCapacityOf(*server)));
 }
 
-/** Only reads that any server may run compare servers: writes run at the primary alone. */
+/** Servers are compared only by reads that any server may run: writes run on the primary alone. */
 void StatementPooler::noteSlowness(ServerState& server, const PooledSession& session,
                                    Duration took) {
     GroupState& group = groupOf(session);
@@ -157,14 +160,17 @@
     group.outliers.onSuccess(server.address.server, slowness, now);
 }
 
-/** Its answer was lost or will not come. */
+/** Records that the response of a request was lost or will not arrive. */
 void StatementPooler::noteRequestLost(ServerState* server) {
     if (server != nullptr) {
         groupNamed(server->address.group).outliers.onFailure(server->address.server, _clock.now());
     }
 }
 
-/** Slow start: a replica that is admitted again takes more as it answers. */
+/**
+ * Slow start: the in-flight limit of a replica that is admitted again grows as the replica
+ * responds.
+ */
 void StatementPooler::reviewOutliers(const GroupName& name, GroupState& group) {
     std::vector<ServerName> serving;
     for (const auto& [serverName, server] : group.servers) {
@@ -206,7 +212,7 @@
     groupOf(session).slotTimes.add(session.service, kind, took);
 }
 
-/** A transaction was committed or rolled back by its caller. */
+/** Records the slot time of a transaction that its caller committed or rolled back. */
 void StatementPooler::noteTransactionTime(const PooledSession& session) {
     if (session.transaction.slotTime > Duration(0)) {
         groupOf(session).slotTimes.add(session.service, UnitKind::Transaction,
@@ -222,7 +228,10 @@
     }
 }
 
-/** A server that refuses is left alone, longer each time: refused statements come back soon. */
+/**
+ * Pauses sending to a server that refuses, longer each time, because refused statements are retried
+ * soon.
+ */
 void StatementPooler::noteBusy(ServerState& server) {
     server.busyPause = nextBackoff(server.busyPause, _knobs.busyPause, _knobs.longestBusyPause);
     server.busyUntil = _clock.now() + server.busyPause;
@@ -344,7 +353,8 @@
             break;
         case StatementFault::Failed:
         case StatementFault::Timeout:
-            // What only the primary runs tells nothing of it beside the others.
+            // Statements that only the primary runs do not allow a comparison with the other
+            // servers.
             if (isSingleRead(session) &&
                 session.settings.readRouting == settings::ReadRouting::Replica) {
                 group.outliers.onFailure(operation.server, now);
@@ -370,7 +380,7 @@
             .field("term", position.term);
         markDirty(group);
     }
-    tellIfChanged(group, primary);
+    notifyIfPrimaryChanged(group, primary);
     if (ServerState* server = serverOf(connection)) {
         const TimePoint now = _clock.now();
         server->catchUp.observe(position, group.floors.lagOf(position, now), now);
@@ -380,16 +390,17 @@
 void StatementPooler::noteReadOnly(GroupState& group, const ServerName& server) {
     const std::optional<Primary> before = group.leadership.primary();
     group.leadership.onReadOnly(server, _clock.now());
-    tellIfChanged(group, before);
+    notifyIfPrimaryChanged(group, before);
 }
 
-void StatementPooler::tellIfChanged(const GroupState& group, const std::optional<Primary>& before) {
+void StatementPooler::notifyIfPrimaryChanged(const GroupState& group,
+                                             const std::optional<Primary>& before) {
     if (group.leadership.primary() != before) {
         _output.primaryChanged(group.name);
     }
 }
 
-/** The statement did not run, or only read: it is tried again while there is time. */
+/** The statement did not run, or was only a read: it is retried while there is time. */
 void StatementPooler::requeue(PooledSession& session, const char* obstacle) {
     Operation& operation = *session.operation;
     const TimePoint now = _clock.now();
--- a/src/pooling/PoolerStatements.cpp
+++ b/src/pooling/PoolerStatements.cpp
@@ -1,4 +1,4 @@
-/** What callers ask: statements that the pooler answers itself, and the start of the others. */
+/** Statements of callers: those that the pooler answers itself, and the start of the others. */
 #include <algorithm>
 #include <utility>
 
@@ -66,7 +66,7 @@
     settle();
 }
 
-/** A change of the service's settings binds from its sessions' next transaction on. */
+/** A change of the service's settings applies from the next transaction of each session. */
 bool StatementPooler::refreshSettings(PooledSession& session) {
     if (session.forwarded) {
         return true;
@@ -143,15 +143,15 @@
         replyCompleted(session);
         return;
     }
-    if (transaction.failureTold) {
+    if (transaction.failureReported) {
         replyError(session, StatementFault::Malformed, "the transaction has failed; end it");
         return;
     }
-    transaction.failureTold = true;
+    transaction.failureReported = true;
     replyError(session, StatementFault::Aborted, "the transaction was rolled back");
 }
 
-/** Ends the session's transaction at the server, or at the node that executes it. */
+/** Ends the session's transaction on the server, or on the node that executes it. */
 void StatementPooler::rollBack(PooledSession& session) {
     ServerConnection* connection = session.transaction.connection
                                        ? _connections.find(*session.transaction.connection)
@@ -179,7 +179,7 @@
         if (statement.verb != StatementVerb::Commit) {
             startTransaction(*session, {});
             failTransaction(*session);
-            session->transaction.failureTold = true;
+            session->transaction.failureReported = true;
         }
     }
     replyError(*session, std::move(error));
--- a/src/pooling/PoolerTimers.cpp
+++ b/src/pooling/PoolerTimers.cpp
@@ -1,4 +1,4 @@
-/** Deadlines of statements, resting transactions, and signs of failed servers. */
+/** Deadlines of statements, idle transactions, and detection of failed servers. */
 #include <algorithm>
 #include <utility>
 #include <vector>
@@ -9,11 +9,11 @@
 namespace coralhoist::pooling {
 namespace {
 
-/** Time between looks at servers and transactions. */
+/** Interval of the periodic review of servers and transactions. */
 constexpr Duration kRound = std::chrono::milliseconds(50);
-/** Samples of freshness older than this serve no read. */
+/** Freshness samples older than this are not used for reads. */
 constexpr Duration kFloorRetention = std::chrono::seconds(10);
-/** Time between two reports of servers' loads. */
+/** Interval between two log events on the load of a server. */
 constexpr Duration kReportEvery = std::chrono::seconds(2);
 
 }  // namespace
@@ -42,7 +42,7 @@
     }
     if (now >= _nextRound) {
         _nextRound = now + kRound;
-        everyTick(now);
+        runRound(now);
     }
     settle();
 }
@@ -78,8 +78,8 @@
 }
 
 /**
- * The server answers nothing at all, or it answers others while this statement takes several times
- * as long as they do: then its answer is lost, or its connection.
+ * The response is overdue if the server sends no response at all, or if it responds to others while
+ * this statement takes several times as long: then the response or the connection is lost.
  */
 bool StatementPooler::isAnswerOverdue(const Operation& operation, const ServerState* server) const {
     if (server == nullptr) {
@@ -87,10 +87,10 @@
     }
     const TimePoint now = _clock.now();
     const bool silent = server->silentSince && now - *server->silentSince >= _knobs.hedgeAfter;
-    const Duration patience =
+    const Duration responseTimeout =
         std::max(_knobs.hedgeAfter, server->latency * _knobs.hedgeAfterLatencies) +
         wayTo(*server).roundTrip;
-    return silent || now - operation.sentAt >= patience;
+    return silent || now - operation.sentAt >= responseTimeout;
 }
 
 void StatementPooler::reviewSent(PooledSession& session, TimePoint now) {
@@ -123,8 +123,8 @@
                         : "no answer within the statement timeout");
 }
 
-void StatementPooler::everyTick(TimePoint now) {
-    endRestingTransactions(now);
+void StatementPooler::runRound(TimePoint now) {
+    endIdleTransactions(now);
     closeLateConnections();
     const bool report = now >= _nextReport;
     _nextReport = report ? now + kReportEvery : _nextReport;
@@ -138,7 +138,7 @@
     }
 }
 
-/** @return whether the next round has to look at the group again though nothing happens. */
+/** @return whether the next round has to visit the group again even without an event. */
 bool StatementPooler::reviewGroup(GroupState& group, TimePoint now) {
     ++_statistics.groupsVisited;
     group.floors.dropBefore(now - kFloorRetention);
@@ -164,7 +164,7 @@
                        [](const auto& entry) { return entry.second.connections > 0; });
 }
 
-/** Tells for each server what this process sends there and what becomes of it. */
+/** Logs for each server the load from this process and the outcomes. */
 void StatementPooler::reportServers(const GroupName& name, GroupState& group) {
     const std::optional<Primary>& primary = group.leadership.primary();
     for (auto& [serverName, server] : group.servers) {
@@ -194,18 +194,18 @@
     }
 }
 
-void StatementPooler::endRestingTransactions(TimePoint now) {
-    std::vector<SessionId> resting;
+void StatementPooler::endIdleTransactions(TimePoint now) {
+    std::vector<SessionId> idleSessions;
     for (const SessionId id : _openTransactions) {
         const PooledSession& session = _sessions.at(id);
-        const Duration rest = now - session.transaction.lastActivity;
+        const Duration idleFor = now - session.transaction.lastActivity;
         const bool open = session.transaction.phase == TransactionPhase::Open;
-        if (open && !session.operation && rest > session.settings.idleInTransactionTimeout) {
-            resting.push_back(id);
+        if (open && !session.operation && idleFor > session.settings.idleInTransactionTimeout) {
+            idleSessions.push_back(id);
         }
     }
-    for (const SessionId id : resting) {
-        endTransaction(_sessions.at(id), "rested for too long");
+    for (const SessionId id : idleSessions) {
+        endTransaction(_sessions.at(id), "idle in transaction for too long");
     }
 }
 
@@ -213,16 +213,16 @@
     std::vector<std::pair<SessionId, const char*>> ending;
     for (const SessionId id : _openTransactions) {
         const PooledSession& session = _sessions.at(id);
-        const bool rests = session.transaction.phase == TransactionPhase::Open &&
-                           session.transaction.connection && !session.operation;
+        const bool isIdle = session.transaction.phase == TransactionPhase::Open &&
+                            session.transaction.connection && !session.operation;
         const ServerConnection* connection =
-            rests ? _connections.find(*session.transaction.connection) : nullptr;
+            isIdle ? _connections.find(*session.transaction.connection) : nullptr;
         const ServerState* server = connection == nullptr ? nullptr : serverOf(*connection);
         if (_policy == nullptr || server == nullptr) {
             continue;
         }
         const GroupState& group = groupOf(session);
-        const PlacementVerdict verdict = _policy->mayRest(
+        const PlacementVerdict verdict = _policy->mayStayIdle(
             placedUnit(session, isPrimary(group, *server)), placedServer(group, *server));
         if (verdict.isForbidden()) {
             ending.emplace_back(id, verdict.reason);
@@ -239,7 +239,7 @@
     settle();
 }
 
-void StatementPooler::admitAnew(const GroupName& group, const ServerName& server) {
+void StatementPooler::restartSlowStart(const GroupName& group, const ServerName& server) {
     const auto found = _groups.find(group);
     if (found == _groups.end()) {
         return;
@@ -252,7 +252,10 @@
     }
 }
 
-/** Between two of its statements: the next one is told that it was rolled back. */
+/**
+ * Ends a transaction between two of its statements: the reply to the next statement reports the
+ * rollback.
+ */
 void StatementPooler::endTransaction(PooledSession& session, const char* reason) {
     ServerConnection* connection = session.transaction.connection
                                        ? _connections.find(*session.transaction.connection)
--- a/tests/pooling/AdmissionTest.cpp
+++ b/tests/pooling/AdmissionTest.cpp
@@ -1,4 +1,4 @@
-/** Until when statements are held, and how returns after a refusal are queued. */
+/** How long statements are held, and how retries after a refusal are queued. */
 #include <CppUTest/TestHarness.h>
 
 #include "PoolerFixture.h"
@@ -8,7 +8,7 @@
 
 using std::chrono::milliseconds;
 
-/** Of the fixture's 800 ms, with the time left that a statement takes. */
+/** Holding time: the fixture's timeout of 800 ms less the time that a statement takes. */
 constexpr Duration kHeld = milliseconds(785);
 
 }  // namespace
@@ -21,7 +21,10 @@
         fixture.submit(session, StatementVerb::Read, text);
         return session;
     }
-    /** Submits a read of a unit whose caller first asked 400 ms ago at the node that forwards. */
+    /**
+     * Submits a read of a unit whose caller sent the first request 400 ms ago at the forwarding
+     * node.
+     */
     void readForwarded(Duration timeout, std::optional<Duration> usefulFor) {
         UnitOpening opening;
         opening.service = ServiceName("current");
@@ -36,16 +39,18 @@
         statement.statement.text = "READ 1";
         fixture.pooler.submitUnit(unit, statement);
     }
-    /** No read can be served for want of a proof of leadership. */
-    SessionId readInVain() {
+    /**
+     * Submits a read that is refused, because no read can be served without a proof of leadership.
+     */
+    SessionId submitRefusedRead() {
         fixture.advance(milliseconds(600));
         const SessionId session = read();
         fixture.advance(kHeld);
         UNSIGNED_LONGS_EQUAL(1, fixture.replies.size());
         return session;
     }
-    /** The session asks; @return the time until it is refused. */
-    Duration heldAgain(SessionId session, const char* text) {
+    /** Submits a read of the session. @return the time until it is refused. */
+    Duration holdingTimeOf(SessionId session, const char* text) {
         const std::size_t before = fixture.replies.size();
         fixture.submit(session, StatementVerb::Read, text);
         Duration held(0);
@@ -57,36 +62,36 @@
     }
 };
 
-TEST(Admission, AReturnHasWhatIsLeftOfItsTime) {
-    const SessionId session = readInVain();
+TEST(Admission, ARetryIsHeldForItsRemainingTime) {
+    const SessionId session = submitRefusedRead();
     fixture.advance(milliseconds(10));
-    // Until 10% beyond the timeout, with the time left that a statement takes.
-    CHECK_TRUE(heldAgain(session, "READ 1") <= milliseconds(70));
-    UNSIGNED_LONGS_EQUAL(1, fixture.pooler.statistics().returnsInTurn);
+    // Held until 10% beyond the timeout, less the time that a statement takes.
+    CHECK_TRUE(holdingTimeOf(session, "READ 1") <= milliseconds(70));
+    UNSIGNED_LONGS_EQUAL(1, fixture.pooler.statistics().retriesAfterRefusal);
 }
 
-TEST(Admission, AnotherStatementIsNoReturn) {
-    const SessionId session = readInVain();
-    CHECK_TRUE(heldAgain(session, "READ 2") >= kHeld);
-    UNSIGNED_LONGS_EQUAL(0, fixture.pooler.statistics().returnsInTurn);
+TEST(Admission, ADifferentStatementIsNotARetry) {
+    const SessionId session = submitRefusedRead();
+    CHECK_TRUE(holdingTimeOf(session, "READ 2") >= kHeld);
+    UNSIGNED_LONGS_EQUAL(0, fixture.pooler.statistics().retriesAfterRefusal);
 }
 
-TEST(Admission, ATurnExpires) {
-    const SessionId session = readInVain();
+TEST(Admission, TheRecordOfARefusalExpires) {
+    const SessionId session = submitRefusedRead();
     fixture.advance(milliseconds(900));
-    CHECK_TRUE(heldAgain(session, "READ 1") >= kHeld);
+    CHECK_TRUE(holdingTimeOf(session, "READ 1") >= kHeld);
 }
 
-TEST(Admission, ASuccessEndsTheTurn) {
-    const SessionId session = readInVain();
+TEST(Admission, ASuccessClearsTheRecordOfARefusal) {
+    const SessionId session = submitRefusedRead();
     fixture.pooler.confirmLeadership(fixture.group, fixture.clock.now());
     fixture.submit(session, StatementVerb::Read, "READ 1");
     fixture.succeed();
     fixture.advance(milliseconds(600));
-    CHECK_TRUE(heldAgain(session, "READ 1") >= kHeld);
+    CHECK_TRUE(holdingTimeOf(session, "READ 1") >= kHeld);
 }
 
-TEST(Admission, AUnitCountsFromTheFirstAskingAtTheNodeThatForwards) {
+TEST(Admission, AUnitIsTimedFromTheFirstRequestAtTheForwardingNode) {
     fixture.advance(milliseconds(600));
     readForwarded(milliseconds(800), std::nullopt);
     fixture.advance(milliseconds(380));
@@ -95,16 +100,19 @@
     UNSIGNED_LONGS_EQUAL(1, fixture.replies.size());
 }
 
-/** What was lost at another executor is told once: as less time, not as less time and as waited. */
-TEST(Admission, AUnitThatComesFromAnotherExecutorHasTheTimeThatIsLeft) {
+/**
+ * The time spent at another executor is counted once: it shortens the useful time and is not
+ * counted as waiting time too.
+ */
+TEST(Admission, AUnitFromAnotherExecutorIsHeldForItsRemainingTime) {
     fixture.advance(milliseconds(600));
     readForwarded(milliseconds(380), milliseconds(380));
     fixture.advance(milliseconds(300));
     UNSIGNED_LONGS_EQUAL(0, fixture.replies.size());
 }
 
-TEST(Admission, AReturnNearItsEndIsHeldForWhatAProofTakes) {
-    const SessionId session = readInVain();
+TEST(Admission, ALateRetryIsHeldForTheTimeThatAProofTakes) {
+    const SessionId session = submitRefusedRead();
     fixture.advance(milliseconds(980));
     const std::size_t before = fixture.replies.size();
     fixture.submit(session, StatementVerb::Read, "READ 1");
@@ -112,7 +120,7 @@
     UNSIGNED_LONGS_EQUAL(before, fixture.replies.size());
 }
 
-TEST(Admission, ACallerThatLeftLeavesTheQueueAtOnce) {
+TEST(Admission, ADisconnectedCallerIsRemovedFromTheQueueAtOnce) {
     std::vector<SessionId> sessions;
     sessions.reserve(8);
     for (int index = 0; index < 8; ++index) {
@@ -132,7 +140,7 @@
     UNSIGNED_LONGS_EQUAL(0, fixture.replies.size());
 }
 
-TEST(Admission, WhatAServerThatStandsStillWillNotServeIsRefusedBeforeItsTimeIsOver) {
+TEST(Admission, StatementsForAStalledServerAreRefusedBeforeTheirTimeout) {
     for (int index = 0; index < 60; ++index) {
         fixture.submit(fixture.session("current"), StatementVerb::Write, "WRITE 1 a");
     }
@@ -148,7 +156,7 @@
     }
 }
 
-TEST(Admission, WithoutWaitingNothingIsRefusedByForecast) {
+TEST(Admission, BeforeAnyWaitNothingIsRefusedByForecast) {
     for (int index = 0; index < 60; ++index) {
         fixture.submit(fixture.session("current"), StatementVerb::Write, "WRITE 1 a");
     }
--- a/tests/pooling/HomeRegionsTest.cpp
+++ b/tests/pooling/HomeRegionsTest.cpp
@@ -1,5 +1,7 @@
-/** Every way in which a bound statement could leave its home regions. The fixture's node and the
- * primary s1 stand in the north, the replicas s2 and s3 in the south. */
+/**
+ * Tests every path on which a statement bound to home regions could leave them. The fixture's node
+ * and the primary s1 are in the north, the replicas s2 and s3 in the south.
+ */
 #include <CppUTest/TestHarness.h>
 
 #include <algorithm>
@@ -32,7 +34,7 @@
     return result;
 }
 
-/** A pooler whose services and tenant get homes while it runs. */
+/** A pooler whose services and tenant are assigned home regions while it runs. */
 struct Homes {
     PoolerFixture pooled;
     placement::HomePolicy policy{pooled.clock, makeRegions(),
@@ -41,13 +43,13 @@
                                  }};
     std::vector<RegionName> tenantHomes;
 
-    /** Replicas serve reads only after a position that they must have is known. */
+    /** Replicas serve reads only after a position that they must have reached is known. */
     Homes() {
         pooled.submit(pooled.session("current"), StatementVerb::Write, "WRITE 0 z");
         pooled.succeed({1, 50});
     }
 
-    /** Puts homes of all services in force, as changed settings do. */
+    /** Applies home regions to all services, as a change of settings does. */
     void bind(const std::vector<RegionName>& homes) {
         ServiceCatalog catalog;
         for (const char* service : {"current", "bounded", "own"}) {
@@ -74,8 +76,10 @@
     void checkMessage(const char* message) const {
         STRCMP_EQUAL(message, pooled.replies.back().result.error->message.c_str());
     }
-    /** @return whether the server in the north was left alone since homes are in force. */
-    bool northLeftAlone() { return pooled.connector.reached[kNorthServer] == _reachedNorth; }
+    /**
+     * @return whether no command was sent to the server in the north since the homes were applied.
+     */
+    bool northUnused() { return pooled.connector.reached[kNorthServer] == _reachedNorth; }
 
 private:
     std::size_t _reachedNorth = 0;
@@ -87,7 +91,7 @@
     Homes homes;
     PoolerFixture& fixture = homes.pooled;
 
-    /** @return a session whose transaction is open at the primary. */
+    /** @return a session whose transaction is open on the primary. */
     SessionId openTransaction() {
         const SessionId session = fixture.session("current");
         fixture.submit(session, StatementVerb::Begin, "BEGIN");
@@ -101,13 +105,13 @@
     }
 };
 
-TEST(HomesAtServers, ReadsUseServersInAHomeHoweverManyThereAre) {
+TEST(HomesAtServers, AllReadsUseServersInAHomeRegion) {
     homes.bind({kSouth});
     for (int count = 0; count < 10; ++count) {
         homes.read();
     }
     CHECK(fixture.pendingCount() > 0);
-    CHECK_TRUE(homes.northLeftAlone());
+    CHECK_TRUE(homes.northUnused());
 }
 
 TEST(HomesAtServers, ARepetitionOfAReadStaysInAHome) {
@@ -118,7 +122,7 @@
     CHECK(fixture.pooler.statistics().hedges > 0);
     fixture.openConnections();
     fixture.advance(milliseconds(250));
-    CHECK_TRUE(homes.northLeftAlone());
+    CHECK_TRUE(homes.northUnused());
 }
 
 TEST(HomesAtServers, ARefusedReadIsRepeatedInAHome) {
@@ -129,7 +133,7 @@
         fixture.refuse(StatementFault::Busy);
         fixture.advance(milliseconds(60));
     }
-    CHECK_TRUE(homes.northLeftAlone());
+    CHECK_TRUE(homes.northUnused());
 }
 
 TEST(HomesAtServers, ValuesAndShapesOfASessionReachServersInAHomeAlone) {
@@ -139,7 +143,7 @@
     fixture.submit(session, StatementVerb::Prepare, "PREPARE p READ q", "p", "q");
     fixture.submit(session, StatementVerb::Execute, "EXECUTE p 5", "p", "5");
     UNSIGNED_LONGS_EQUAL(3, fixture.pendingCount());
-    CHECK_TRUE(homes.northLeftAlone());
+    CHECK_TRUE(homes.northUnused());
 }
 
 TEST(HomesAtServers, AWriteRunsOnceAServerInAHomeLeads) {
@@ -153,7 +157,7 @@
     STRCMP_EQUAL("s2", fixture.pending().server.value().c_str());
 }
 
-TEST(HomesAtServers, AWriteThatAPrimaryElsewhereWouldRunIsRefusedAtOnce) {
+TEST(HomesAtServers, AWriteForAPrimaryOutsideTheHomesIsRefusedAtOnce) {
     homes.bind({kSouth});
     write();
     UNSIGNED_LONGS_EQUAL(0, fixture.pendingCount());
@@ -184,7 +188,7 @@
         homes.readAsTenant();
     }
     fixture.openConnections();
-    CHECK_TRUE(homes.northLeftAlone());
+    CHECK_TRUE(homes.northUnused());
 }
 
 TEST(HomesAtServers, ATransactionThatRestsElsewhereEndsWhenHomesComeIntoForce) {
@@ -198,7 +202,7 @@
                      [](const SentCommand& sent) { return sent.command.text == "WRITE 2 b"; }));
 }
 
-TEST(HomesAtServers, AnAnswerUnderWayIsDeliveredAndTheNextStatementIsNotSent) {
+TEST(HomesAtServers, APendingResponseIsDeliveredAndTheNextStatementIsNotSent) {
     const SessionId session = openTransaction();
     fixture.submit(session, StatementVerb::Write, "WRITE 2 b");
     homes.bind({kSouth});
@@ -209,7 +213,7 @@
     UNSIGNED_LONGS_EQUAL(0, fixture.pendingCount());
 }
 
-TEST(HomesAtServers, ACommitUnderWayIsToldAsItEnded) {
+TEST(HomesAtServers, TheOutcomeOfAPendingCommitIsReported) {
     const SessionId session = openTransaction();
     fixture.submit(session, StatementVerb::Commit, "COMMIT");
     homes.bind({kSouth});
@@ -224,7 +228,7 @@
     homes.bind({kSouth});
     fixture.acknowledge(SessionState::InTransaction);
     homes.checkFault(StatementFault::Aborted);
-    CHECK_TRUE(homes.northLeftAlone());
+    CHECK_TRUE(homes.northUnused());
 }
 
 TEST(HomesAtServers, AStatementThatWaitsIsPlacedByTheNewHomes) {
@@ -237,7 +241,7 @@
     homes.checkFault(StatementFault::Busy);
 }
 
-TEST(HomesAtServers, HomesThatAreTakenAwayLeaveEveryServer) {
+TEST(HomesAtServers, WithoutHomesEveryServerIsAllowed) {
     homes.bind({kSouth});
     homes.bind({});
     write();
@@ -259,7 +263,7 @@
     homes.checkFault(StatementFault::Busy);
 }
 
-/** This node executes nothing; ten nodes stand in each of a northern and a southern zone. */
+/** This node executes nothing; a northern and a southern zone have ten nodes each. */
 TEST_GROUP(HomesAtNodes) {
     Homes homes;
     PoolerFixture& fixture = homes.pooled;
@@ -307,16 +311,16 @@
     CHECK_TRUE(zoneOfLast() == kSouthZone);
 }
 
-TEST(HomesAtNodes, ThisNodeExecutesWhatNoNodeInAHomeCanBeReachedFor) {
+TEST(HomesAtNodes, ThisNodeExecutesStatementsWithoutAReachableNodeInAHome) {
     homes.bind({kSouth});
     cut(kSouthZone);
     homes.read();
     UNSIGNED_LONGS_EQUAL(0, forwarder.sent.size());
     UNSIGNED_LONGS_EQUAL(1, fixture.pendingCount());
-    CHECK_TRUE(homes.northLeftAlone());
+    CHECK_TRUE(homes.northUnused());
 }
 
-TEST(HomesAtNodes, WhatAnExecutorDeclinesStaysInAHome) {
+TEST(HomesAtNodes, ADeclinedStatementStaysInAHome) {
     homes.bind({kSouth});
     homes.read();
     const std::size_t sent = forwarder.sent.size();
@@ -334,7 +338,7 @@
     homes.read();
     fixture.pooler.onUnitLost(forwarder.sent.back().unit, UnitLoss::Unanswered);
     CHECK_TRUE(zoneOfLast() == kSouthZone);
-    CHECK_TRUE(homes.northLeftAlone());
+    CHECK_TRUE(homes.northUnused());
 }
 
 TEST(HomesAtNodes, AStatementOfATransactionIsNotShownToANodeThatHomesExclude) {
@@ -368,7 +372,7 @@
     UNSIGNED_LONGS_EQUAL(sent + 1, forwarder.sent.size());
 }
 
-TEST(HomesAtNodes, HomesWithoutARegionInCommonAreShownToNobody) {
+TEST(HomesAtNodes, WithoutACommonHomeRegionNothingIsForwarded) {
     homes.tenantHomes = {kNorth};
     homes.bind({kSouth});
     homes.readAsTenant();
