--- a/src/pooling/CapacityShares.cpp
+++ b/src/pooling/CapacityShares.cpp
@@ -8,15 +8,17 @@
 namespace coralhoist::pooling {
 namespace {
 
-/** A statement that found no room still waits so long after: the pooler tries each 50 ms. */
+/** A statement that found no room is assumed to be still queued for this time: the pooler retries
+ * each queued statement every 50 ms. */
 constexpr Duration kSameQueue = std::chrono::milliseconds(120);
-/** A rank is served ahead of the higher ones as far as it fills the slots for so long: about the
- * time of one statement. With more, what waits of a low rank would wait behind a high one. */
+/** A rank is served before the higher ones as far as its demand fills the slots for this time,
+ * which is about the time of one statement. With a longer time, queued statements of a low rank
+ * would wait behind running statements of a high one. */
 constexpr Duration kRankHorizon = std::chrono::milliseconds(50);
-/** A turn that is used late by no more than this does not put off the next one: the pooler looks at
- * its queue each 50 ms at least. */
+/** A turn that is used late by no more than this does not delay the next one: the pooler checks its
+ * queue at least every 50 ms. */
 constexpr Duration kLateTurn = std::chrono::milliseconds(50);
-/** Demand that has changed by less than one part in so many is not told at once. */
+/** A change of demand by less than one part in this many is not reported at once. */
 constexpr int kNoticeablePart = 4;
 
 Duration sumOf(const std::vector<Duration>& demand) {
@@ -80,8 +82,8 @@
     _inForce = now - *_crowdedSince >= kSettling && exceedsServers(now);
 }
 
-/** @return whether all executors together have more than the servers take at once; silent ones are
- * taken for ones that use an equal part. */
+/** @return whether all executors together have more statements than the servers take at once;
+ * executors without a report are assumed to use an equal part. */
 bool CapacityShares::exceedsServers(TimePoint now) {
     const Duration own = sumOf(_load.demandByRank);
     if (_load.statements > 0) {
@@ -126,12 +128,12 @@
                       [&](const auto& entry) { return isFresh(entry.second, now); }));
 }
 
-/** @return the part of all executors whose demand is known. */
+/** @return the fraction of all executors whose demand is known. */
 double CapacityShares::knownPart(TimePoint now) const {
     return static_cast<double>(heardCount(now) + 1) / static_cast<double>(_others + 1);
 }
 
-/** @return the demand that is known, by rank. */
+/** @return the known demand of all executors, by rank. */
 std::vector<Duration> CapacityShares::demandOfAll(TimePoint now) const {
     std::vector<Duration> all = _load.demandByRank;
     for (const auto& [name, heard] : _heard) {
@@ -146,7 +148,7 @@
     return all;
 }
 
-/** @return this executor's part of a server, from 0 to 1. */
+/** @return this executor's share of a server, from 0 to 1. */
 double CapacityShares::partOf(std::uint32_t slots, TimePoint now) const {
     const std::vector<Duration>& own = _load.demandByRank;
     const std::vector<Duration> all = demandOfAll(now);
@@ -179,7 +181,8 @@
     return partOf(server.slots, now) * std::max(1.0, server.taken);
 }
 
-/** @return the time between two turns in which a fraction of a statement is served on average. */
+/** @return the interval between two turns at which a fraction of a statement is served on average.
+ */
 Duration CapacityShares::intervalOf(const SharedServer& server, double fraction) const {
     const double turns = ratio(server.latency, kLongestTurn);
     return fraction <= turns ? kLongestTurn
--- a/src/pooling/CapacityShares.h
+++ b/src/pooling/CapacityShares.h
@@ -1,4 +1,4 @@
-/** How the executors of one group share what each of its servers takes. */
+/** How the executors of one group divide the capacity of each of its servers among themselves. */
 #pragma once
 
 #include <cstddef>
@@ -15,17 +15,17 @@
 
 namespace coralhoist::pooling {
 
-/** What one executor has to do for a group, and what the group's servers take. */
+/** The load that one executor has for a group, and the capacity of the group's servers. */
 struct OwnLoad {
-    /** Slot time that waiting and running statements need, by rank. */
+    /** Slot time that queued and running statements need, by rank. */
     std::vector<Duration> demandByRank;
-    /** Number of these statements. */
+    /** Number of queued and running statements. */
     std::size_t statements = 0;
     /** Statements that all executors together keep in flight at all servers. */
     double taken = 1;
 };
 
-/** A server as far as shares depend on it. */
+/** The properties of a server that shares depend on. */
 struct SharedServer {
     ServerName name;
     std::uint32_t slots = 1;
@@ -33,90 +33,100 @@
     double taken = 1;
     /** Time from sending a statement to its result. */
     Duration latency{0};
-    /** What needs it can go to no other server. */
+    /** Statements that need the primary can't be sent to any other server. */
     bool primary = false;
 };
 
 /**
- * Answers a crowd: several executors have more for a group than its servers take, and a limit that
- * each finds for itself lets all of them meet at a server at once. There they wait in a queue that
- * knows no ranks, or are refused for want of room, which costs a statement an attempt and its
- * executor a pause. What is kept short of the server waits where ranks decide.
+ * Coordinates executors under overload. When several executors have more statements for a group
+ * than its servers take, and each executor finds its limit on its own, all of them can reach a
+ * server at once. Statements then wait in the server's queue, which knows no ranks, or are refused
+ * for lack of room, which costs the statement an attempt and its executor a pause. Statements that
+ * are held back in the executors wait where ranks decide their order.
  *
- * An executor with a queue and more than an equal part of what the servers take, or one that was
- * refused, begins a crowd: if all together have more than the servers take, one of them has more
- * than an equal part. In a crowd all executors tell each other the slot time that their statements
- * need, by rank. While that is more than all servers take at once, each keeps to its part of what a
- * server takes: as much as its demand is of the demand of all, rank by rank. Parts bind at the
- * primary, whose work can go nowhere else, and where a server refused; a part of a replica is
- * seldom where its work is, and would leave slots idle. The crowd ends when the demand fits.
+ * An overload begins when an executor has a queue and more than an equal part of what the servers
+ * take, or when a server refused one of its statements for lack of room: if all executors together
+ * have more than the servers take, at least one of them has more than an equal part. During an
+ * overload all executors report to each other the slot time that their statements need, by rank.
+ * While the total is more than all servers take at once, each executor limits itself to its share
+ * of each server's capacity: the ratio of its demand to the demand of all executors, rank by rank.
+ * Shares limit an executor at the primary, because the primary's work can't run elsewhere, and at
+ * servers that refused a statement; the share of another replica is seldom where the executor's
+ * work is, and would leave slots idle. The overload ends when the demand fits the servers.
  *
- * Executors that tell nothing are taken for ones with an equal part. Outside a crowd there are no
+ * Executors that send no report are assumed to use an equal part. Outside an overload there are no
  * shares and no messages.
  *
- * Executors with the same view have parts whose sum is the whole. A part is no whole number of
- * statements; the fraction is served in turns whose distance makes the mean right, with no clock in
- * common. Whatever its part, an executor may send one statement each kLongestTurn: a few hundredths
- * of one slot, and nobody waits for ever for want of a report.
+ * Executors with the same view have shares that add up to the whole capacity. A share is usually
+ * not a whole number of statements; the fraction is served in turns, spaced so that the mean is
+ * right, without a shared clock. Whatever its share, an executor may send one statement each
+ * kLongestTurn: that uses a few hundredths of one slot, and no statement waits forever because a
+ * report is missing.
  *
- * Soft state, bounded by the number of executors. Pure: it takes events and the time.
+ * Soft state, bounded by the number of executors. Does no I/O and reads no clock: events and the
+ * time are passed in.
  */
 class CapacityShares {
 public:
-    /** A report counts for so long. Callers of the strictest objectives wait 200 ms: a second of
-     * old news is what a crowd of seconds can bear, and outlives two lost reports. */
+    /** How long a report is used. Callers with the strictest objectives wait 200 ms. A report that
+     * is one second old is still accurate enough for an overload that lasts seconds, and this age
+     * tolerates the loss of two reports. */
     static constexpr Duration kReportAge = std::chrono::seconds(1);
     /** Least time between two reports. */
     static constexpr Duration kReportEvery = std::chrono::milliseconds(100);
-    /** Time between two reports that say nearly the same: two may be lost before they are missed.
+    /** Time between two reports that are nearly equal: two may be lost before the report expires.
      */
     static constexpr Duration kRepeatEvery = std::chrono::milliseconds(300);
     /** Longest time between two statements of an executor that has something to send. */
     static constexpr Duration kLongestTurn = std::chrono::seconds(1);
-    /** Shares begin so long after the crowd: the others' first reports have come by then. */
+    /** Delay from the start of an overload to the start of shares: the other executors' first
+     * reports have arrived by then. */
     static constexpr Duration kSettling = std::chrono::milliseconds(150);
-    /** A crowd is over when there was no sign of it for so long. */
+    /** An overload ends when there was no sign of it for this time. */
     static constexpr Duration kCrowdEndsAfter = std::chrono::seconds(1);
 
-    /** A statement waits because no server has room. */
+    /** A statement is queued because no server has room. */
     void noteNoRoom(TimePoint now);
 
-    /** A server refused a statement for want of room. */
+    /** A server refused a statement for lack of room. */
     void noteRefused(const ServerName& server, TimePoint now);
 
     /**
-     * Takes what another node tells.
+     * Takes the report of another node.
      * @param executors the group's other executors as this node knows them.
-     * @return whether it was taken: a sender that is none of them is not believed.
+     * @return whether the report was accepted: a report from a node that is not an executor of the
+     * group is ignored.
      */
     bool take(const LoadReport& report, const std::vector<NodeName>& executors, TimePoint now);
 
     /**
-     * Takes the executors and this one's own load.
-     * @param executors the group's other executors; none when this node executes nothing of it.
+     * Updates the group's executors and this executor's own load.
+     * @param executors the group's other executors; empty when this node does not execute the
+     * group.
      */
     void update(const std::vector<NodeName>& executors, OwnLoad load, TimePoint now);
 
-    /** @return whether this executor or another one lacks room. */
+    /** @return whether this executor or another one reports an overload. */
     bool isCrowded(TimePoint now) const;
 
-    /** @return whether this executor itself was refused for want of room, or has a queue and more
-     * than an equal part to do. */
+    /** @return whether this executor itself was refused for lack of room, or has a queue and more
+     * than an equal part of the work. */
     bool lacksRoom(TimePoint now) const { return now < _lacksRoomUntil; }
 
-    /** @return whether the own demand is to be told now; it is taken for told. */
+    /** @return whether this executor's demand must be reported now; if so, it is recorded as
+     * reported. */
     bool takeTelling(TimePoint now);
 
     const std::vector<Duration>& demand() const { return _load.demandByRank; }
 
-    /** @return whether shares bind this executor, as of the last update. */
+    /** @return whether shares limit this executor, as of the last update. */
     bool inForce() const { return _inForce; }
 
-    /** @return whether shares bind this executor at the server. */
+    /** @return whether shares limit this executor at the server. */
     bool binds(const SharedServer& server) const;
 
     /** @return the statements that this executor may have in flight on average; infinite where
-     * shares do not bind. */
+     * shares do not limit it. */
     double boundAt(const SharedServer& server, TimePoint now) const;
 
     /** @return whether one more statement may be sent to the server. */
@@ -126,12 +136,12 @@
     void noteSent(const SharedServer& server, std::uint32_t inflight, TimePoint now);
 
     /**
-     * @return when the next turn at the server comes, for one that waits for it; nothing when no
-     * turn is due or somebody has been told of it.
+     * @return when the next turn at the server comes, so that the caller can schedule a wake-up;
+     * nothing when no turn is due or a wake-up for it has been returned already.
      */
     std::optional<TimePoint> takeTurnWake(const SharedServer& server, TimePoint now);
 
-    /** @return executors whose reports count. */
+    /** @return the number of executors whose reports are still used. */
     std::size_t heardCount(TimePoint now) const;
 
 private:
@@ -140,11 +150,11 @@
         bool crowded = false;
         TimePoint at{};
     };
-    /** Turns at one server. */
+    /** The turns of this executor at one server. */
     struct Turns {
-        /** When the last one was due, or used if that was much later. */
+        /** When the last turn was due, or when it was used if that was much later. */
         TimePoint last{};
-        /** Somebody will look then. */
+        /** A wake-up is scheduled for this time. */
         TimePoint wakeAt{};
     };
 
@@ -159,7 +169,7 @@
     std::map<NodeName, Heard> _heard;
     std::size_t _others = 0;
     OwnLoad _load;
-    /** Mean slot time of the own statements, when there were any. */
+    /** Mean slot time of this executor's statements as of the last update that had any. */
     Duration _statementTime = std::chrono::milliseconds(30);
     std::vector<Duration> _told;
     TimePoint _toldAt{};
@@ -168,7 +178,7 @@
     std::optional<TimePoint> _crowdedSince;
     bool _inForce = false;
     std::map<ServerName, Turns> _turns;
-    /** Servers that refused this executor for want of room in this crowd. */
+    /** Servers that refused a statement of this executor for lack of room during this overload. */
     std::set<ServerName> _refusedBy;
 };
 
--- a/src/pooling/CatchUpEstimate.cpp
+++ b/src/pooling/CatchUpEstimate.cpp
@@ -9,21 +9,26 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/** Time over which a rate is counted: shorter, the gaps between commits are taken for rests. */
+/** Time over which a rate is computed: over a shorter time, gaps between commits would count as
+ * pauses of the replica. */
 constexpr Duration kRateSpan = std::chrono::milliseconds(200);
-/** Up to this lag a replica is one that keeps up, whatever its last steps were: the floors of
+/** Up to this lag a replica counts as one that keeps up, whatever its last rate was: the floors of
  * callers who accept some staleness are older than that. */
 constexpr Duration kKeepsUpWithin = std::chrono::milliseconds(300);
-/** Below this rate a replica stands still: a caller's time ends before it has what it lacks. */
+/** Below this rate a replica counts as making no progress: callers time out before it reaches the
+ * position that it lacks. */
 constexpr double kStandsStill = 0.2;
-/** Above this rate a replica skips what held it up: it has the rest after its usual lag. */
+/** Above this rate a replica is no longer blocked by what delayed it: it reaches the remaining
+ * positions after its usual lag. */
 constexpr double kHighestRate = 20;
-/** What it lacked when it was last seen it is not expected to have before: a way there and back. */
+/** A position that the replica lacked when it was last observed is not expected before this time:
+ * it is a network round trip. */
 constexpr Duration kSoonest = std::chrono::milliseconds(10);
-/** A rate holds for no longer. */
+/** A rate is extrapolated for no longer than this. */
 constexpr Duration kForesight = std::chrono::seconds(1);
-/** What was seen longer ago is proved anew by a read: it costs that one a round trip in vain, while
- * a replica that has caught up unseen costs the primary all the reads of that time. */
+/** An observation that is older than this is verified by a read. A read that is refused costs its
+ * caller a round trip, whereas a replica that has caught up unnoticed costs the primary all the
+ * reads of that time. */
 constexpr Duration kProvedAfter = std::chrono::milliseconds(250);
 
 }  // namespace
@@ -82,7 +87,7 @@
     return isRefuted(floor) && !mayProbe ? _nextProbe - now : Duration(0);
 }
 
-/** @return the time until it has the position, refusals left out. */
+/** @return the time until the replica has the position, disregarding refusals. */
 std::optional<Duration> CatchUpEstimate::expected(OpTime floor, TimePoint reachedAt,
                                                   TimePoint now) const {
     if (floor <= _position || _observedAt == TimePoint{}) {
@@ -106,7 +111,8 @@
     if (_lag <= kKeepsUpWithin) {
         return _lag;
     }
-    // One that falls behind goes on doing so; one that catches up is foreseen for a while only.
+    // A replica that falls behind is assumed to continue to do so; the progress of one that catches
+    // up is extrapolated only for a limited time.
     const Duration since = now - _observedAt;
     const Duration counted = _rate > 1 ? std::min(since, kForesight) : since;
     const auto change = std::chrono::duration_cast<Duration>(counted * (1 - _rate));
--- a/src/pooling/CatchUpEstimate.h
+++ b/src/pooling/CatchUpEstimate.h
@@ -1,4 +1,4 @@
-/** When a replica will have a position of the log, from the positions that it has shown. */
+/** Estimates when a replica will reach a log position, from the positions that it has reported. */
 #pragma once
 
 #include <optional>
@@ -8,59 +8,62 @@
 
 namespace coralhoist::pooling {
 
-/** Pauses between two reads that ask a replica which is not expected to have what they need. */
+/** Pauses between two reads that probe a replica which is not expected to have the position they
+ * need. */
 struct ProbePauses {
     Duration shortest = std::chrono::milliseconds(60);
     Duration longest = std::chrono::milliseconds(480);
 };
 
 /**
- * What is known of one replica's progress in one life of it.
+ * The known progress of one replica during one incarnation.
  *
- * Answers the load of replicas that fall behind: each read that asks one in vain comes late to the
- * server that serves it, and each that asks the primary though a replica has its position, or will
- * have it in a moment, takes a slot from what only the primary can run.
+ * Limits the cost of replicas that fall behind: a read that a lagging replica refuses reaches the
+ * server that runs it late, and a read that goes to the primary although a replica has its
+ * position, or will have it shortly, takes a slot from work that only the primary can run.
  *
- * The log's own time is the measure: the lag is the time since the log went beyond the replica's
- * position. A replica that keeps up has a position one lag after the log had; one that catches up
- * sooner, by its rate; of one that stands still nothing can be said, and it is asked by one
- * read at a time, after growing pauses. The estimate only chooses: the server itself refuses reads
- * whose position it lacks.
+ * Time is measured on the log: the lag is the time since the log went beyond the replica's
+ * position. A replica that keeps up reaches a position one lag after the log did; one that catches
+ * up reaches it sooner, according to its rate. No estimate is possible for a replica that makes no
+ * progress; it is probed by one read at a time, after growing pauses. The estimate only affects the
+ * choice of a server: the server itself refuses reads whose position it lacks.
  */
 class CatchUpEstimate {
 public:
     /**
-     * The replica has shown its position in an answer of any kind.
+     * The replica reported its position in a response of any kind.
      * @param lag time since the log went beyond that position; zero when it has not.
      */
     void observe(OpTime position, Duration lag, TimePoint now);
 
-    /** It refused a read for want of a position. */
+    /** The replica refused a read because it lacks the position. */
     void refuse(OpTime floor, TimePoint now, const ProbePauses& pauses);
 
-    /** A read is sent there, whatever is expected of it: the next one waits for its answer. */
+    /** A read is sent to the replica, whether or not it is expected to have the position: the next
+     * such read waits for the response. */
     void ask(OpTime floor, TimePoint reachedAt, TimePoint now, const ProbePauses& pauses);
 
-    /** A read has succeeded there. */
+    /** A read succeeded at the replica. */
     void succeed() { _pause = Duration(0); }
 
     /**
-     * @param reachedAt when the log had the position.
-     * @return the time until a read that needs the position may be sent there: zero when it has
-     * the position, is expected to, or may be asked again; none when that can't be foreseen.
+     * @param reachedAt when the log reached the position.
+     * @return the time until a read that needs the position may be sent to the replica: zero when
+     * the replica has the position, is expected to have it, or may be probed again; nothing when
+     * the time can't be estimated.
      */
     std::optional<Duration> timeUntil(OpTime floor, TimePoint reachedAt, TimePoint now) const;
 
-    /** @return how far it is behind, by what it has shown and at its rate since. */
+    /** @return the estimated lag, from the last observation and the rate since. */
     Duration lagAt(TimePoint now) const;
 
-    /** @return seconds of the log that it applies a second; 1 for one that keeps up. */
+    /** @return seconds of the log that the replica applies per second; 1 for one that keeps up. */
     double rate() const { return _rate; }
 
-    /** @return the highest position that it has shown. */
+    /** @return the highest position that the replica reported. */
     OpTime position() const { return _position; }
 
-    /** @return the position that it lacked last. */
+    /** @return the position that the replica lacked last. */
     OpTime lacked() const { return _lacked; }
 
 private:
@@ -70,11 +73,12 @@
     OpTime _position;
     TimePoint _observedAt{};
     Duration _lag{0};
-    /** The observation from which the rate is counted. */
+    /** The observation from which the rate is computed. */
     TimePoint _anchorAt{};
     Duration _anchorLag{0};
     double _rate = 1;
-    /** It lacked this when it was last asked in vain; no position since reaches it. */
+    /** The position that the replica lacked at its last refusal, while no later observation reaches
+     * it. */
     OpTime _lacked;
     TimePoint _nextProbe{};
     Duration _pause{0};
--- a/src/pooling/ConnectionAlignment.h
+++ b/src/pooling/ConnectionAlignment.h
@@ -1,4 +1,4 @@
-/** Brings a connection into the state that a session's statement must find. */
+/** Brings a connection into the state that a session's next statement requires. */
 #pragma once
 
 #include <cstddef>
@@ -11,15 +11,16 @@
 namespace coralhoist::pooling {
 
 /**
- * Puts exactly the session's values in force on the connection, and notes that the commands are
- * awaited.
- * @param preparedBound prepared names above which all are dropped first, outside transactions.
+ * Applies exactly the session's values to the connection, and records that the commands' results
+ * are awaited.
+ * @param preparedBound number of prepared statements above which all of them are dropped first,
+ * outside transactions.
  * @return the commands to send ahead of the statement.
  */
 std::vector<ServerCommand> alignValues(ServerConnection& connection, const SessionValues& values,
                                        std::size_t preparedBound);
 
-/** Appends the command that prepares the shape there, unless it is prepared already. */
+/** Appends the command that prepares the shape on the connection, unless it is prepared already. */
 void alignPrepared(ServerConnection& connection, const PreparedShape& shape,
                    std::vector<ServerCommand>& commands);
 
--- a/src/pooling/ExecutorPlacement.cpp
+++ b/src/pooling/ExecutorPlacement.cpp
@@ -44,7 +44,7 @@
     return changed;
 }
 
-/** @return who joined and who left; a node that moved to another zone did both. */
+/** @return the nodes that joined and left; a node that moved to another zone did both. */
 NodeChanges ExecutorPlacement::replaceNodes(const std::vector<ProxyNode>& nodes) {
     const std::map<NodeName, ZoneName> before = std::exchange(_zones, {});
     _zones[_self] = _zone;
@@ -71,7 +71,7 @@
     return changes;
 }
 
-/** Chooses anew in each zone where an executor of the group has left. */
+/** Chooses the executors again in each zone where an executor of the group has left. */
 bool ExecutorPlacement::takeLeft(const GroupName& group, Executors& executors,
                                  const NodeChanges& changes) const {
     bool changed = false;
@@ -155,7 +155,7 @@
     return NodeRanking(group.value()).first(nodes->second, _executorsPerZone);
 }
 
-/** Derives from the executors of each zone whom this node asks, and in which order. */
+/** Derives from the executors of each zone which nodes this node asks, and in which order. */
 void ExecutorPlacement::arrange(const GroupName& group, Executors& executors) const {
     std::vector<NodeName> near;
     std::vector<NodeName> inRegion;
@@ -176,7 +176,8 @@
             }
         }
     }
-    // Ranked again by a key of this node, so that the load of a zone spreads over its executors.
+    // Ranked again by a key that contains this node's name, so that the load of a zone is spread
+    // over its executors.
     const std::string ownKey = group.value() + '\0' + _self.value();
     executors.others.clear();
     appendNames(rankedNodes(ownKey, near), executors.others);
--- a/src/pooling/ExecutorPlacement.h
+++ b/src/pooling/ExecutorPlacement.h
@@ -13,21 +13,21 @@
 
 namespace coralhoist::pooling {
 
-/** A proxy node as the others know it. */
+/** A proxy node as other nodes know it. */
 struct ProxyNode {
     NodeName name;
     ZoneName zone;
-    /** Where it takes forwarded units of work; port 0 when that is not known. */
+    /** Address at which the node accepts forwarded units of work; port 0 when it is not known. */
     std::string host;
     std::uint16_t port = 0;
-    /** What it can pass on to other nodes: the rate of its link in kbit/s times its share of a
-     * processor; 0 when it is not told. */
+    /** Capacity for forwarding to other nodes: the rate of the node's link in kbit/s times its
+     * share of a processor; 0 when the node does not report it. */
     std::uint32_t capacity = 0;
 
     bool operator==(const ProxyNode&) const = default;
 };
 
-/** What a list of nodes changes. */
+/** The difference between two lists of nodes. */
 struct NodeChanges {
     std::map<ZoneName, std::vector<NodeName>> joined;
     std::map<ZoneName, std::set<NodeName>> left;
@@ -35,24 +35,24 @@
 
 /**
  * Rendezvous hashing over the nodes of each zone. A few executors share a server's connections, so
- * that their number does not grow with the number of nodes; other nodes forward to them. Nodes with
- * the same view choose the same executors; nothing but speed depends on that.
+ * that the number of connections does not grow with the number of nodes; other nodes forward to the
+ * executors. Nodes with the same view choose the same executors; only speed depends on that, not
+ * correctness.
  */
 class ExecutorPlacement {
 public:
-    /** @param executorsPerZone nodes of a zone that execute a group's statements. */
+    /** @param executorsPerZone number of nodes in each zone that execute a group's statements. */
     ExecutorPlacement(NodeName self, ZoneName zone, std::uint32_t executorsPerZone);
 
-    /** Takes the regions: executors of the own region are asked before those of others. */
+    /** Sets the regions: executors of this node's region are asked before those of others. */
     void setRegions(const locality::RegionMap& regions);
 
-    /** Changes the number of executors of a zone. */
     void setExecutorsPerZone(std::uint32_t executorsPerZone);
 
     /**
-     * Replaces the nodes that are known. This node counts whether it is among them or not. A node
-     * that joins or leaves costs a look at each group, and no ranking of all nodes but for groups
-     * that have lost an executor.
+     * Replaces the known nodes. This node counts as known whether or not it is in the list. A node
+     * that joins or leaves costs one check of each group; all nodes are ranked again only for
+     * groups that lost an executor.
      * @return groups whose executors have changed.
      */
     std::vector<GroupName> applyNodes(const std::vector<ProxyNode>& nodes);
@@ -65,19 +65,19 @@
 
     /**
      * @return the other executors in the order in which this node asks them: those of its own zone
-     * first, then those of its region, different nodes beginning with different ones.
+     * first, then those of its region. Different nodes start with different executors.
      */
     const std::vector<NodeName>& preferenceOf(const GroupName& group) const;
 
-    /** @return the zone of a node; an empty name for one that is not known. */
+    /** @return the zone of a node; an empty name for an unknown node. */
     const ZoneName& zoneOf(const NodeName& node) const;
 
-    /** @return ranks of nodes for groups that were computed, ever. */
+    /** @return the total number of node ranks that were computed for groups. */
     std::uint64_t ranksComputed() const { return _ranksComputed; }
 
 private:
     struct Executors {
-        /** Of each zone that has nodes, those chosen, the first one first. */
+        /** The chosen nodes of each zone that has nodes, in the order of their ranks. */
         std::map<ZoneName, std::vector<RankedNode>> chosen;
         bool here = false;
         std::size_t count = 0;
--- a/src/pooling/FreshnessFloors.h
+++ b/src/pooling/FreshnessFloors.h
@@ -1,4 +1,4 @@
-/** Remembers up to which position the log had come at moments of the recent past. */
+/** Records which position the log had reached at points in the recent past. */
 #pragma once
 
 #include <deque>
@@ -10,34 +10,37 @@
 namespace coralhoist::pooling {
 
 /**
- * Samples of a primary's position. A sample (t, p) says: every commit that was acknowledged before
- * t is at or below p. So a read that may miss commits younger than its staleness needs a sample
- * that is not older than that, and the lowest such position is enough.
+ * Samples of a primary's position. A sample (t, p) states that every commit which was acknowledged
+ * before t is at or below p. A read that may miss commits within its staleness bound therefore
+ * needs a sample that is not older than the bound; the lowest position of such samples is
+ * sufficient.
  */
 class FreshnessFloors {
 public:
-    /** Takes a sample. @param askedAt when the statement that brought the position was sent. */
+    /** Adds a sample. @param askedAt when the statement that returned the position was sent. */
     void add(TimePoint askedAt, OpTime position);
 
-    /** @return the lowest position that covers all commits acknowledged before `since`. */
+    /** @return the lowest sampled position that covers all commits acknowledged before `since`. */
     std::optional<OpTime> covering(TimePoint since) const;
 
-    /** @return since when the log is known to have had the position; none when it is not. */
+    /** @return the time by which the log is known to have had the position; nothing when it is not
+     * known. */
     std::optional<TimePoint> reachedAt(OpTime position) const;
 
-    /** @return the time since the log went beyond the position; zero when it is not known to. */
+    /** @return the time since the log went beyond the position; zero when it is not known to have
+     * done so. */
     Duration lagOf(OpTime position, TimePoint now) const;
 
-    /** Drops samples that no read needs any more. */
+    /** Drops samples that are no longer needed by any read. */
     void dropBefore(TimePoint time);
 
-    /** @return whether samples are held that dropBefore drops one day. */
+    /** @return whether there are samples that a later dropBefore() can drop. */
     bool mayDrop() const { return _samples.size() > 1; }
 
     void clear() { _samples.clear(); }
 
 private:
-    /** Samples closer together than this are not kept apart. */
+    /** A sample that follows the previous one within this time is dropped. */
     static constexpr Duration kSpacing = std::chrono::milliseconds(20);
 
     struct Sample {
--- a/src/pooling/LeadershipProof.h
+++ b/src/pooling/LeadershipProof.h
@@ -1,4 +1,4 @@
-/** Proofs that the primaries of all groups lead, and what is needed to hand them from node to node.
+/** Proofs that the primaries of all groups lead, and the interfaces for passing them between nodes.
  */
 #pragma once
 
@@ -17,7 +17,7 @@
 /** Versions of the groups' promotion records; groups without a record are absent. */
 using RecordVersions = std::map<GroupName, StoreVersion>;
 
-/** @return the highest version in a list of that era, which may have no record at all. */
+/** @return the highest version in a list of this era, which may contain no record at all. */
 inline StoreVersion newestOf(const RecordVersions& versions, std::uint64_t era) {
     StoreVersion newest{era, 0};
     for (const auto& [group, version] : versions) {
@@ -26,7 +26,7 @@
     return newest;
 }
 
-/** All promotion records as one list of the store showed them. */
+/** All promotion records as returned by one list request to the store. */
 struct ListedRecords {
     RecordVersions versions;
     /** Era of the store that showed them. */
@@ -41,16 +41,17 @@
     /** Era of the store that showed them. */
     std::uint64_t era = 0;
 
-    /** @return the version of the group's record; without one, that there was none in that era. */
+    /** @return the version of the group's record; for a group without a record, a version which
+     * states that there was none in that era. */
     StoreVersion versionOf(const GroupName& group) const {
         const auto found = recordVersions.find(group);
         return found == recordVersions.end() ? StoreVersion{era, 0} : found->second;
     }
 };
 
-/** A proof on its way to another node. */
+/** A proof that is sent to another node. */
 struct HandedProof {
-    /** Time since the moment of the proof, by the clock of the node that hands it out. */
+    /** Time since the moment of the proof, by the clock of the node that sends it. */
     Duration age{0};
     RecordVersions recordVersions;
     /** Era of the store that showed them. */
@@ -59,11 +60,11 @@
     bool operator==(const HandedProof&) const = default;
 };
 
-/** What a proof must be to help a node. */
+/** The requirements that a proof must meet to be useful to a node. */
 struct ProofNeed {
-    /** Newest record version that the node knows: a proof that does not show it is too old. */
+    /** Newest record version that the node knows: a proof that does not include it is too old. */
     StoreVersion newestVersion;
-    /** Age that the proof may have when it is handed out. */
+    /** Maximum age of the proof when it is sent. */
     Duration maximumAge{0};
 
     bool operator==(const ProofNeed&) const = default;
@@ -71,35 +72,35 @@
 
 /** A node that waits for a proof. */
 struct ProofAsker {
-    /** Names the question on this node. */
+    /** Identifies the request on this node. */
     std::uint64_t id = 0;
     ProofNeed need;
 };
 
-/** Asks other nodes. No call delivers an answer before it returns. */
+/** Sends requests to other nodes. No call delivers a response before it returns. */
 class ProofQuestions {
 public:
     virtual ~ProofQuestions() = default;
 
-    /** @return whether the node seems to answer now. */
+    /** @return whether the node currently seems to respond. */
     virtual bool canReach(const NodeName& node) const = 0;
 
-    /** Asks for a proof. One onProofAnswer follows, or nothing when the node or its link is lost.
+    /** Requests a proof. One onProofAnswer follows, or nothing when the node or its link is lost.
      */
     virtual void askForProof(const NodeName& node, std::uint64_t question,
                              const ProofNeed& need) = 0;
 };
 
-/** Answers other nodes. */
+/** Sends responses to other nodes. */
 class ProofAnswers {
 public:
     virtual ~ProofAnswers() = default;
 
-    /** @param proof nothing when this node has none and can't get one now. */
+    /** @param proof nothing when this node has no proof and can't get one now. */
     virtual void answerProof(std::uint64_t asker, const std::optional<HandedProof>& proof) = 0;
 };
 
-/** Receives questions and answers of other nodes. */
+/** Receives requests and responses of other nodes. */
 class ProofEvents {
 public:
     virtual ~ProofEvents() = default;
@@ -108,15 +109,15 @@
     virtual void onProofAnswer(std::uint64_t question, const std::optional<HandedProof>& proof) = 0;
 };
 
-/** Reads all promotion records with a linearizable call of the store. */
+/** Reads all promotion records with a linearizable call to the store. */
 class RecordReader {
 public:
-    /** Called with nothing when the store did not answer. */
+    /** Called with nothing when the store did not respond. */
     using Callback = std::function<void(const std::optional<ListedRecords>&)>;
 
     virtual ~RecordReader() = default;
 
-    /** @param callback called once, not before this returns. */
+    /** @param callback called exactly once, and not before this call returns. */
     virtual void readRecords(Callback callback) = 0;
 };
 
--- a/src/pooling/LeadershipTracker.cpp
+++ b/src/pooling/LeadershipTracker.cpp
@@ -6,7 +6,7 @@
 namespace coralhoist::pooling {
 namespace {
 
-/** Time after which a contradicted claim is tried again. */
+/** Time after which a claim that the server contradicted is considered again. */
 constexpr Duration kRefutation = std::chrono::milliseconds(300);
 
 }  // namespace
@@ -64,7 +64,8 @@
     if (announced) {
         _announcedAt = now;
         _confirmedAt.reset();
-        // Also for the present primary: another server may have led since, unseen by this node.
+        // This also applies to the present primary: another server may have led since without this
+        // node noticing.
         _writableFrom = now + kLeadershipLease;
     }
     if (notice.phase != PromotionPhase::Preparing) {
@@ -124,7 +125,8 @@
     return claim.claims || _notice.phase != PromotionPhase::Promoting;
 }
 
-/** A server that has shown no term yet counts unless another one claims to lead the newest. */
+/** A server that has not reported a term yet may lead unless another server claims to be the
+ * primary in the newest term. */
 bool LeadershipTracker::mayLeadNewestTerm(const Claim& claim) const {
     if (claim.term > 0) {
         return claim.term >= _newestTerm;
--- a/src/pooling/LeadershipTracker.h
+++ b/src/pooling/LeadershipTracker.h
@@ -1,4 +1,5 @@
-/** Decides which server of a group is taken for its primary, and whether that is still certain. */
+/** Decides which server of a group is treated as its primary, and whether its leadership is
+ * certain. */
 #pragma once
 
 #include <map>
@@ -13,42 +14,43 @@
 namespace coralhoist::pooling {
 
 /**
- * How long evidence of a primary's leadership lasts: a read that arrives within it may run there.
- * A promotion is recorded, and the former primary kept from committing, before the successor is
- * promoted; and nobody commits at a successor before this time has passed since it learned of the
- * promotion. So no commit of the successor precedes a read that rests on the evidence.
+ * How long evidence of a primary's leadership is valid: a read that arrives within this time may
+ * run at that primary. A promotion is recorded, and the former primary is kept from committing,
+ * before the successor is promoted; and no node commits at a successor before this time has passed
+ * since the node learned of the promotion. So no commit of the successor precedes a read that
+ * relies on the evidence.
  */
 constexpr Duration kLeadershipLease = std::chrono::milliseconds(500);
 
-/** The server taken for the primary. */
+/** The server that is treated as the primary. */
 struct Primary {
     ServerName server;
-    /** Highest term seen of it; 0 when it has told none yet. */
+    /** Highest term that the server reported; 0 while it has reported none. */
     Term term = 0;
 
     bool operator==(const Primary&) const = default;
 };
 
-/** How far the promotion of a group has come, from the record in the store. */
+/** Progress of a group's promotion, from the record in the store. */
 enum class PromotionPhase {
     None,      /**< No promotion is under way. */
     Preparing, /**< The former primary is being kept from committing. */
-    Promoting, /**< The successor is chosen and may lead at any moment. */
+    Promoting, /**< The successor is chosen and may start to lead at any moment. */
 };
 
-/** What the store's record of a group's promotions says. */
+/** The content of the store's record of a group's promotions. */
 struct PromotionNotice {
     PromotionPhase phase = PromotionPhase::None;
-    /** Successor chosen by the newest promotion; empty before the first. */
+    /** Successor chosen by the newest promotion; empty before the first promotion. */
     ServerName successor;
-    /** Term of the newest promotion, finished or not; 0 before the first. */
+    /** Term of the newest promotion, finished or not; 0 before the first promotion. */
     Term term = 0;
     /** Version of the record; a later one is higher. */
     StoreVersion version;
     /** Position of the successor's log when it was chosen; term 0 when it is not known. */
     OpTime base{};
-    /** Nobody but the successor can have been promoted last. Not certain after a return of the
-     * store until the servers have shown it. */
+    /** Whether it is certain that no server but the successor was promoted last. After the store
+     * has reverted to an older state this is uncertain until the servers have shown it. */
     bool isConfirmed = true;
 
     bool operator==(const PromotionNotice&) const = default;
@@ -58,20 +60,20 @@
 bool announcesAnew(const PromotionNotice& before, const PromotionNotice& after);
 
 /**
- * Leadership of one group. Invariants: the newest term seen never decreases; a server that has
- * shown a lower one only is not taken for the primary; once a promotion is recorded, nobody but
- * its successor is. A leader that the record does not name was promoted by a call that took effect
+ * Leadership of one group. Invariants: the newest known term never decreases; a server that has
+ * reported only a lower term is not treated as the primary; once a promotion is recorded, only its
+ * successor is. A leader that the record does not name was promoted by a call that took effect
  * late: the record proves nothing about it, and it may lack commits of the successor.
  */
 class LeadershipTracker {
 public:
-    /** Takes the announcements of the group's servers. */
+    /** Updates the announcements of the group's servers. */
     void onDirectory(const ServerDirectory::Servers& servers, TimePoint now);
 
-    /** A server told a position of its log. */
+    /** A server reported a position of its log. */
     void onPosition(const ServerName& server, OpTime position, TimePoint now);
 
-    /** A server refused a write or a transaction because it is no primary. */
+    /** A server refused a write or a transaction because it is not the primary. */
     void onReadOnly(const ServerName& server, TimePoint now);
 
     /** The store's record, read by a call that was sent at askedAt. */
@@ -79,16 +81,17 @@
 
     /**
      * The primary's leadership was certain at a moment.
-     * @param at a time not later than the moment on which the proof rests.
+     * @param at a time not later than the moment to which the proof refers.
      */
     void confirm(const Primary& primary, TimePoint at);
 
     /**
-     * The store showed this version of the record at a moment. A record is closed only when
-     * its announcement is older than the lease, so every proof that an earlier primary led has run
-     * out by then, and the primary may be written to at once. Nothing follows from a record that
-     * shows a promotion under way, is not the newest one known or is not confirmed.
-     * @param recordVersion version of the record; one that does not exist when there was none.
+     * The store returned this version of the record at a moment. A record is closed only when its
+     * announcement is older than the lease, so by then every proof that an earlier primary led has
+     * expired, and writes may be sent to the primary at once. The call has no effect when the
+     * record shows a promotion under way, is not the newest one known or is not confirmed.
+     * @param recordVersion version of the record; a version that does not exist when there was no
+     * record.
      * @param at a time not later than that moment.
      */
     void confirmByRecord(const StoreVersion& recordVersion, TimePoint at);
@@ -99,24 +102,25 @@
     /** @return whether reads that arrived at this time may run at the primary. */
     bool isCertainFor(TimePoint arrivedAt) const;
 
-    /** @return whether statements may be sent that commit at the primary. */
+    /** @return whether statements that commit may be sent to the primary. */
     bool mayWrite(TimePoint now) const;
 
     /**
-     * @return whether a promotion has become known after that moment: then what a server answers to
-     * a statement sent before tells nothing about the present leader and its log.
+     * @return whether a promotion became known after that moment: then a server's response to a
+     * statement sent before it carries no information about the present leader and its log.
      */
     bool isPromotedSince(TimePoint sentAt) const { return _recordedAt && sentAt < *_recordedAt; }
 
     /**
-     * The successor of the newest promotion has a commit of another server only if that is of the
-     * term of its own log when it was chosen, and not above it.
+     * The successor of the newest promotion has a commit of another server only if the commit's
+     * term is that of the successor's own log when it was chosen, and its position is not above
+     * that log's.
      * @param sentAt when the commit was sent to the server that acknowledged it.
      * @return whether the commit at that position may be lost.
      */
     bool mayLackCommit(const ServerName& server, TimePoint sentAt, OpTime position) const;
 
-    /** @return the earliest time at which mayWrite may turn true. */
+    /** @return the earliest time at which mayWrite() may become true. */
     TimePoint writableFrom() const { return _writableFrom; }
 
     const PromotionNotice& notice() const { return _notice; }
@@ -124,9 +128,9 @@
 
 private:
     struct Claim {
-        /** The server's announcement stands. */
+        /** Whether the server's announcement has not been removed. */
         bool listed = false;
-        /** It announces itself as the primary. */
+        /** Whether the server announces itself as the primary. */
         bool claims = false;
         StoreVersion version;
         Term term = 0;
@@ -143,9 +147,9 @@
     std::optional<Primary> _primary;
     std::optional<TimePoint> _confirmedAt;
     PromotionNotice _notice;
-    /** When the successor of the newest announcement was first seen. */
+    /** When this node first saw the successor of the newest announcement. */
     std::optional<TimePoint> _announcedAt;
-    /** When the newest promotion, announced or finished, was first seen. */
+    /** When this node first saw the newest promotion, announced or finished. */
     std::optional<TimePoint> _recordedAt;
     Term _newestTerm = 0;
     TimePoint _writableFrom{};
--- a/src/pooling/OutlierDetector.cpp
+++ b/src/pooling/OutlierDetector.cpp
@@ -7,25 +7,26 @@
 namespace coralhoist::pooling {
 namespace {
 
-/** Part of the window; all of them are one second: a few reads of a server that is little used, and
- * no more than callers' patience with one that fails. */
+/** Length of one part of the window. All parts together are one second: that covers a few reads of
+ * a little-used server, and is no longer than callers' timeouts with a failing one. */
 constexpr Duration kPartLength = std::chrono::milliseconds(250);
-/** Fewer requests, or fewer failures, may be chance: in an overload some reads are given up at
- * every server. */
+/** Fewer requests, or fewer failures, may be chance: under overload some reads time out at every
+ * server. */
 constexpr std::uint32_t kLeastRequests = 8;
 constexpr std::uint32_t kLeastFailures = 5;
-/** One failure in so many makes an outlier. */
+/** One failure in this many requests makes a server an outlier. */
 constexpr std::uint32_t kFailuresOneIn = 3;
-/** Times of its requests over the others' that make an outlier. */
+/** Ratio of its requests' times to those of the other servers that makes a server an outlier. */
 constexpr double kOutlierSlowness = 3;
-/** An ejection holds for so long, and twice as long each time in a row up to the bound: a probation
- * in vain costs two reads their patience, a third of the servers unused costs a burst. */
+/** Duration of the first ejection; it doubles with each ejection in a row up to the upper bound. A
+ * failed probation costs two reads their timeout, whereas a third of the servers unused costs a
+ * burst of load. */
 constexpr Duration kShortestEjection = std::chrono::milliseconds(500);
 constexpr Duration kLongestEjection = std::chrono::seconds(2);
-/** Successes in a row, and failures, that end a probation: one failure alone is chance. */
+/** Successes in a row, and failures, that end a probation: a single failure may be chance. */
 constexpr std::uint32_t kSuccessesToAdmit = 5;
 constexpr std::uint32_t kFailuresToEject = 2;
-/** After so long without an ejection the next one is the first again. */
+/** After this time without an ejection, the next ejection counts as the first again. */
 constexpr Duration kEjectionsForgottenAfter = std::chrono::seconds(10);
 
 std::int64_t partAt(TimePoint now) {
@@ -84,7 +85,8 @@
     return changes;
 }
 
-/** Ejection, probation, and what that shows. */
+/** Advances a server that is not admitted: from ejection to probation, and from probation to
+ * admission or to another ejection. */
 void OutlierDetector::step(Record& record, TimePoint now) {
     if (record.standing != ServerStanding::OnProbation) {
         if (now >= record.probationAt) {
@@ -180,7 +182,7 @@
     });
 }
 
-/** Compares with the median of the others. */
+/** Compares with the median of the other servers. */
 bool OutlierDetector::isSlower(const Evidence& evidence, const std::vector<Evidence>& others) {
     std::vector<double> times;
     for (const Evidence& other : others) {
--- a/src/pooling/OutlierDetector.h
+++ b/src/pooling/OutlierDetector.h
@@ -1,4 +1,4 @@
-/** Which of a group's servers fail, lose or delay what is sent to them. */
+/** Detects which of a group's servers fail, lose or delay requests. */
 #pragma once
 
 #include <array>
@@ -13,61 +13,62 @@
 
 namespace coralhoist::pooling {
 
-/** A server's standing has changed. */
 struct StandingChange {
     ServerName server;
     ServerStanding standing = ServerStanding::Admitted;
-    /** Requests that were taken for evidence, and those of them that failed or were lost. */
+    /** Requests that were evaluated, and how many of them failed or were lost. */
     std::uint32_t requests = 0;
     std::uint32_t failures = 0;
-    /** Mean time of its reads over that of the same reads in the group. */
+    /** Mean ratio of the time of its reads to the time of the same reads in the group. */
     double slowness = 1;
-    /** Until it is on probation, when ejected. */
+    /** Duration of the ejection, which ends with probation, when the server is ejected. */
     Duration ejectedFor{0};
 };
 
 /**
- * Judges the servers of one group by what became of requests in a sliding window.
+ * Evaluates the servers of one group by the outcomes of requests in a sliding window.
  *
- * Answers the load of servers that are slow, grey or hang behind a good answer to a health check:
- * requests alone show them. A third of requests lost is the bound, since a read that is lost comes
- * late by its whole patience, several times what a queue at the other servers costs it; below that
- * the queue costs more. The same holds for times: three times the others' is past the objective of
- * a statement that meets it at the others with a usual margin.
+ * Covers servers that are slow, fail partially or hang although their health check passes: only
+ * requests reveal them. The threshold is a third of requests lost, because a lost read is late by
+ * its whole timeout, several times what a queue at the other servers costs it; below that share the
+ * queue costs more. The same reasoning holds for times: a statement that takes three times as long
+ * as at the others misses its objective if it meets it at the others with a usual margin.
  *
- * What fails at the other servers as well is the callers' own, and ejects none. At most half of the
- * servers are ejected at once: the rest must be able to run what comes. The times of ejection
- * double, since a server that flaps loses reads at each probation.
+ * Requests that fail at the other servers as well are the callers' fault, and eject no server. At
+ * most half of the servers are ejected at once: the rest must be able to run the load. The ejection
+ * times double, because a flapping server loses reads at each probation.
  */
 class OutlierDetector {
 public:
     /**
-     * A request there succeeded.
-     * @param slowness its time over the group's for its kind; none where no other server runs such.
+     * A request at the server succeeded.
+     * @param slowness ratio of its time to the group's time for its kind; nothing where no other
+     * server runs this kind.
      */
     void onSuccess(const ServerName& server, std::optional<double> slowness, TimePoint now);
 
-    /** A request there failed or was lost. */
+    /** A request at the server failed or was lost. */
     void onFailure(const ServerName& server, TimePoint now);
 
-    /** The server began a new life: nothing is known of it. */
+    /** A new incarnation of the server started: nothing is known about it. */
     void forget(const ServerName& server) { _records.erase(server); }
 
-    /** Ejects, puts on probation and admits. @param serving servers that may run reads. */
+    /** Ejects servers, puts them on probation and admits them again. @param serving servers that
+     * may run reads. */
     std::vector<StandingChange> review(const std::vector<ServerName>& serving, TimePoint now);
 
     ServerStanding standingOf(const ServerName& server) const;
 
-    /** @return whether no server is ejected or on probation. */
+    /** @return whether no server is slow, ejected or on probation. */
     bool admitsAll() const;
 
 private:
-    /** What became of requests in a part of the window. */
+    /** Outcomes of requests in a part of the window. */
     struct Tally {
         std::int64_t part = -1;
         std::uint32_t successes = 0;
         std::uint32_t failures = 0;
-        /** Successes with a time, and the sum of their slowness. */
+        /** Successes with a known time, and the sum of their slowness. */
         std::uint32_t timed = 0;
         double slowness = 0;
     };
--- a/src/pooling/PrimaryWatch.cpp
+++ b/src/pooling/PrimaryWatch.cpp
@@ -5,10 +5,11 @@
 namespace coralhoist::pooling {
 namespace {
 
-/** A write unanswered for so long shows that the primary can't commit. */
+/** A write that is unanswered for this time indicates that the primary can't commit. */
 constexpr Duration kWritePatience = std::chrono::milliseconds(700);
-/** So many connections that break in place of an answer, without any answer for so long, show that
- * the primary serves nobody. Connections that are all reset at one moment break within less. */
+/** This many connections that break instead of responding, with no response for this time, indicate
+ * that the primary serves nobody. Connections that are all reset at one moment break within a
+ * shorter time. */
 constexpr std::uint32_t kLostInRow = 5;
 constexpr Duration kLossPatience = std::chrono::milliseconds(500);
 
@@ -46,8 +47,8 @@
 }
 
 /**
- * Told before silence: where writes hold all connections the server seems silent, yet it answers
- * who asks for its status, and would be left alone.
+ * Checked before silence: where writes hold all connections the server seems silent, yet it
+ * responds to a status request, so a suspicion of silence would be dismissed.
  */
 bool PrimaryWatch::leavesWritesUnanswered(const ServerState& primary, TimePoint now) const {
     return std::any_of(_writes.begin(), _writes.end(), [&](const auto& entry) {
--- a/src/pooling/PrimaryWatch.h
+++ b/src/pooling/PrimaryWatch.h
@@ -1,4 +1,4 @@
-/** Signs that a group's primary has failed, from what becomes of statements sent to it. */
+/** Detects signs that a group's primary has failed, from the outcomes of statements sent to it. */
 #pragma once
 
 #include <optional>
@@ -10,31 +10,32 @@
 
 namespace coralhoist::pooling {
 
-/** Why a server is taken for failed. */
+/** Why a server is assumed to have failed. */
 enum class SuspicionReason {
     Silent,
     Unreachable,
     WritesUnanswered,
-    StatementsLost, /**< It takes connections and breaks each in place of an answer. */
+    StatementsLost, /**< The server accepts connections and resets each of them instead of
+                       responding. */
 };
 
 /** @return a word for logs. */
 const char* describe(SuspicionReason reason);
 
-/** Watches the writes of one group that are unanswered, and the primary's state. */
+/** Watches the unanswered writes of one group, and the primary's state. */
 class PrimaryWatch {
 public:
-    /** A write or a COMMIT was sent on the connection to the server. */
+    /** A write or a COMMIT was sent to the server on the connection. */
     void noteWrite(ConnectionId connection, const ServerName& server, TimePoint at) {
         _writes[connection] = {server, at};
     }
 
-    /** The connection has answered, or is gone. */
+    /** The server responded on the connection, or the connection is gone. */
     void noteAnswered(ConnectionId connection) { _writes.erase(connection); }
 
     /**
-     * @param suspectAfter a server that has answered nothing for so long is silent.
-     * @return the sign that the primary shows, if any.
+     * @param suspectAfter a server that has not responded for this time is silent.
+     * @return the sign of failure that the primary shows, if any.
      */
     std::optional<SuspicionReason> review(const ServerState& primary, Duration suspectAfter,
                                           TimePoint now) const;
--- a/src/pooling/ProofExchange.cpp
+++ b/src/pooling/ProofExchange.cpp
@@ -11,19 +11,24 @@
 
 using std::chrono::milliseconds;
 
-/** Age of a proof that this node can use: what is left of the lease (500 ms) is time for reads. */
+/** Maximum age of a proof that this node can use: the rest of the lease (500 ms) is time for reads.
+ */
 constexpr Duration kUsableAge = milliseconds(300);
-/** A node that asks for others wants a proof that is younger by this factor. */
+/** A node that requests a proof for others requires one that is younger by this factor. */
 constexpr int kAgePerLevel = 2;
-/** A node that has not answered for so long is passed over: twenty times a calm answer, and less
- * than a third of the shortest latency objective in use (120 ms); or twice what the last proof
- * took, for a slow store makes all nodes slow. */
+/**
+ * Bounds of the timeout for a response of another node, after which the node is passed over. The
+ * shortest timeout is twenty times a usual response time, and less than a third of the shortest
+ * latency objective in use (120 ms). The timeout grows to twice the time that the last proof took,
+ * because a slow store makes all nodes slow.
+ */
 constexpr Duration kShortestPatience = milliseconds(40);
 constexpr Duration kLongestPatience = milliseconds(500);
 constexpr int kTimesTheLast = 2;
-/** Pause after a proof or a failure; reads that a proof did not help would ask without end. */
+/** Pause after a proof or a failure; without it, reads that a proof did not help would cause
+ * requests without end. */
 constexpr Duration kAttemptPause = milliseconds(50);
-/** Pause after a call that the store did not answer; doubled each time, with jitter. */
+/** Pause after a call that the store did not answer; it doubles each time, with jitter. */
 constexpr Duration kFirstReadPause = milliseconds(60);
 constexpr Duration kLongestReadPause = milliseconds(1000);
 
@@ -40,7 +45,7 @@
 void ProofExchange::noteRecord(const StoreVersion& version) {
     if (version > _newestKnown) {
         _newestKnown = version;
-        // A record that was closed is proven at once.
+        // The proof that a record was closed is requested at once.
         _nextAttempt = std::min(_nextAttempt, _dependencies.clock.now());
     }
 }
@@ -63,7 +68,8 @@
            newestOf(_newest->recordVersions, _newest->era) >= asker.need.newestVersion;
 }
 
-/** @return what a proof must be to help this node and all that have asked it. */
+/** @return the requirements of a proof that helps this node and all nodes that wait for a proof
+ * from it. */
 ProofNeed ProofExchange::ownNeed() const {
     ProofNeed need{_newestKnown, kUsableAge};
     for (const WaitingAsker& waiting : _askers) {
@@ -89,7 +95,7 @@
     });
 }
 
-/** Those who asked before the moment of the proof can get none that serves them better. */
+/** Nodes that asked before the moment of the proof can't get a proof that serves them better. */
 void ProofExchange::handOutToEarlier(TimePoint now) {
     std::erase_if(_askers, [this, now](const WaitingAsker& waiting) {
         const bool helps =
@@ -201,11 +207,12 @@
     }
     handOut(now);
     handOutToEarlier(now);
-    // Reads that it does not help may ask again from within.
+    // Reads that the proof does not help may call want() from within this callback.
     _dependencies.onProof(proof);
 }
 
-/** Those who wait are told at once, so that they can turn to others or to the servers. */
+/** Waiting nodes receive the failure at once, so that they can turn to other nodes or to the
+ * servers. */
 void ProofExchange::fail(TimePoint now) {
     _failed = true;
     _nextAttempt = std::max(_nextAttempt, now + kAttemptPause);
--- a/src/pooling/ProofExchange.h
+++ b/src/pooling/ProofExchange.h
@@ -1,4 +1,4 @@
-/** Gets proofs of leadership from other nodes or from the store, and hands them on. */
+/** Gets proofs of leadership from other nodes or from the store, and passes them to other nodes. */
 #pragma once
 
 #include <cstdint>
@@ -15,27 +15,30 @@
 
 namespace coralhoist::pooling {
 
-/** What an exchange is made of. All outlive it. */
+/** The collaborators of an exchange. All of them outlive it. */
 struct ProofDependencies {
     const Clock& clock;
     RandomSource& random;
     RecordReader& reader;
     ProofQuestions& questions;
     ProofAnswers& answers;
-    /** Told of each proof that this node gets. */
+    /** Called with each proof that this node gets. */
     std::function<void(const LeadershipProof&)> onProof;
 };
 
 /**
  * The proofs of one node. A proof is the list of all promotion records as the store held them at a
- * moment. Reads at primaries need one that is younger than the lease, so each node needs two a
- * second; read once and handed on, they cost the store the same however many nodes there are.
+ * moment. Reads at primaries need a proof that is younger than the lease, so each node needs two
+ * per second. Each proof is read once and passed on, so the load of the store does not depend on
+ * the number of nodes.
  *
- * Invariant: the time of a proof is never later than its moment. A node that asks at T and is
- * told of the age A dates the proof T - A: the answer was written after T, and the proof is A
- * older. So delays, lost answers and frozen nodes make proofs look older, never younger.
+ * Invariant: the time of a proof is never later than its moment. A node that sends a request at T
+ * and receives a proof of age A dates the proof T - A: the response was written after T, and the
+ * proof is A older than the response. So delays, lost responses and stalled nodes make proofs
+ * appear older, never younger.
  *
- * A proof older than a record that the asking node knows would not help it, so it is read anew.
+ * A proof that is older than a record which the requesting node knows would not help it; it is
+ * therefore read from the store again.
  */
 class ProofExchange final : public ProofEvents {
 public:
@@ -43,11 +46,11 @@
     ProofExchange(ProofDependencies dependencies, const ReaderTree& readers);
     ~ProofExchange() override;
 
-    /** This node knows a promotion record of this version, or that it can't know one of an earlier
-     * era any more. */
+    /** This node learned of a promotion record of this version, or can no longer learn of one of an
+     * earlier era. */
     void noteRecord(const StoreVersion& version);
 
-    /** Reads of this node wait for a proof. */
+    /** Reads of this node are queued until there is a proof. */
     void want() { _wanted = true; }
 
     void onProofAsked(const ProofAsker& asker) override;
@@ -56,11 +59,12 @@
     void onTick(TimePoint now);
     std::optional<TimePoint> nextTick() const;
 
-    /** @return whether the last attempt brought no proof: neither a node nor the store gave one. */
+    /** @return whether the last attempt brought no proof: neither another node nor the store gave
+     * one. */
     bool hasFailed() const { return _failed; }
 
 private:
-    /** A question to another node that has not been answered. */
+    /** A request to another node that has not been answered. */
     struct Question {
         std::uint64_t number = 0;
         NodeName node;
@@ -97,7 +101,7 @@
     std::vector<WaitingAsker> _askers;
     std::optional<Question> _question;
     std::uint64_t _lastQuestion = 0;
-    /** How long the last proof took, whoever gave it: others need as long for theirs. */
+    /** How long the last proof took, whoever gave it: other nodes need as long for theirs. */
     Duration _lastTook{0};
     bool _reading = false;
     TimePoint _nextAttempt{};
--- a/src/pooling/ReaderTree.cpp
+++ b/src/pooling/ReaderTree.cpp
@@ -11,10 +11,10 @@
 namespace coralhoist::pooling {
 namespace {
 
-/** A zone has one reader for so many nodes: each of them asks up to about five times a second, and
- * an answer costs a node some 50 us of processor time (measured on the users' bench). */
+/** A zone has one reader for this many nodes: each node asks up to about five times a second, and a
+ * response costs the reader some 50 us of processor time. */
 constexpr std::size_t kNodesPerReader = 32;
-/** Nodes that a reader may ask, so that the loss of one is bridged without the store. */
+/** Number of nodes that a reader may ask, so that the loss of one does not require the store. */
 constexpr std::size_t kCandidatesOfReader = 2;
 constexpr const char* kZoneKey = "readers of a zone";
 constexpr const char* kEstateKey = "readers of the estate";
@@ -23,10 +23,10 @@
     return (nodes + kNodesPerReader - 1) / kNodesPerReader;
 }
 
-/** A node that may read for others. */
+/** A node that may read for other nodes. */
 struct Reader {
     NodeName name;
-    /** Nodes of a higher class can pass on at least about four times as much. */
+    /** Nodes of a higher class have at least about four times the forwarding capacity. */
     unsigned capacityClass = 0;
 };
 using Readers = std::vector<Reader>;
@@ -35,7 +35,7 @@
     return static_cast<unsigned>(std::bit_width(node.capacity)) / 2;
 }
 
-/** @return those that rank first for the key, by class and then by hash. */
+/** @return the nodes that rank first for the key, by class and then by hash. */
 Readers firstReaders(const std::string& key, const Readers& nodes, std::size_t count) {
     struct Entry {
         RankedNode node;
@@ -58,7 +58,8 @@
     return first;
 }
 
-/** @return the zone's nodes by rank, cut to its readers and one more that stands in for them. */
+/** @return the zone's nodes by rank, limited to its readers and the given number of spares that
+ * substitute for them. */
 Readers zoneReaders(const Readers& nodes, std::size_t spare) {
     return firstReaders(kZoneKey, nodes, readersOf(nodes.size()) + spare);
 }
@@ -71,7 +72,7 @@
     return names;
 }
 
-/** @return those that rank above this one, cut to what a reader may ask. */
+/** @return the readers that rank above this one, limited to the number that a reader may ask. */
 std::vector<NodeName> rankedAbove(const NodeName& self, const Readers& readers) {
     std::vector<NodeName> ranked = namesOf(firstReaders(kEstateKey, readers, readers.size()));
     const auto own = std::find(ranked.begin(), ranked.end(), self);
@@ -107,7 +108,7 @@
     return rankedAbove(self.name, firsts);
 }
 
-/** @return the zone's readers, different nodes beginning with different ones, then the stand-in. */
+/** @return the zone's readers, starting with different ones for different nodes, then the spare. */
 std::vector<NodeName> readersFor(const NodeName& self, const Readers& readers,
                                  const Readers& withSpare) {
     std::vector<NodeName> candidates = rankedNodes(self.value(), namesOf(readers));
@@ -117,7 +118,7 @@
     return candidates;
 }
 
-/** @return how many of the nodes come before the one in the group's order. */
+/** @return how many of the nodes rank before the given one in the group's order. */
 template <typename Nodes>
 std::size_t rankedBefore(const GroupName& group, const NodeName& self, const Nodes& nodes) {
     NodeRanking ranking(group.value());
--- a/src/pooling/ReaderTree.h
+++ b/src/pooling/ReaderTree.h
@@ -1,4 +1,4 @@
-/** Which nodes a node asks for what the store holds before it asks the store itself. */
+/** Which nodes a node asks for the store's content before it asks the store itself. */
 #pragma once
 
 #include <cstddef>
@@ -14,27 +14,29 @@
 
 /**
  * A tree of readers: the nodes of a zone ask one of the zone's readers, the zones' readers ask the
- * one that ranks first among them, and that one reads the store. Nodes that can pass on several
- * times as much rank before others: a reader sends all that the store holds to each of its askers,
- * and in a large estate a small link can't carry that in time. Where there are several regions, the
- * zones' readers ask the first of their own region, and only that one asks the first of another
- * region: what the store holds crosses to a region once. Nodes with the same view form the same
- * tree; nodes with different views may ask each other in a circle, which their patience ends.
+ * one that ranks first among them, and that one reads the store. Nodes with several times the
+ * forwarding capacity rank before others: a reader sends the store's whole content to each node
+ * that asks it, and in a large deployment a slow link can't carry that in time. Where there are
+ * several regions, the zones' readers ask the first reader of their own region, and only that one
+ * asks the first reader of another region, so that the store's content crosses to a region once.
+ * Nodes with the same view form the same tree; nodes with different views may ask each other in a
+ * cycle, which their request timeouts break.
  */
 class ReaderTree {
 public:
     ReaderTree(NodeName self, ZoneName zone, locality::RegionMap regions = {});
 
-    /** Replaces the nodes that are known. This node counts whether it is among them or not. */
+    /** Replaces the known nodes. This node counts as known whether or not it is in the list. */
     void applyNodes(const std::vector<ProxyNode>& nodes);
 
     /** @return the nodes to ask, the preferred one first; none when this node reads the store. */
     const std::vector<NodeName>& candidates() const { return _candidates; }
 
-    /** @return whether nodes were applied: before, this one alone seems to be there. */
+    /** @return whether nodes were applied: until then this node seems to be the only one. */
     bool knowsNodes() const { return _knowsNodes; }
 
-    /** @return whether nodes of its zone turn to this one: a reader, or the one that stands in. */
+    /** @return whether nodes of its zone ask this node: it is a reader or the spare of the zone's
+     * readers. */
     bool isAskedByOthers() const { return _isAskedByOthers; }
 
     /** @return this node's place in the order of all nodes for a group; 0 is the first. */
@@ -47,7 +49,8 @@
     ZoneName _zone;
     locality::RegionMap _regions;
     std::set<NodeName> _nodes;
-    /** Turns that were asked for; a change of the nodes moves them by those ranked before. */
+    /** Places that turnOf() computed. When nodes join or leave, each place changes by the number of
+     * them that rank before this node. */
     mutable std::map<GroupName, std::size_t> _turns;
     std::vector<NodeName> _candidates;
     bool _isAskedByOthers = true;
--- a/src/pooling/ServerChoice.cpp
+++ b/src/pooling/ServerChoice.cpp
@@ -5,8 +5,8 @@
 namespace coralhoist::pooling {
 namespace {
 
-/** Added for a server that seems to have failed or is slow: longer than what callers wait for, so
- * it is taken only when no other has room. */
+/** Added for a server that seems to have failed or is slow: it exceeds the time that callers wait,
+ * so the server is chosen only when no other has room. */
 constexpr Duration kLastResortCost = std::chrono::seconds(1);
 
 }  // namespace
@@ -57,7 +57,8 @@
     return candidate.readyIn <= patience;
 }
 
-/** The time observed there holds the queue as it was; what is in flight from here comes on top. */
+/** The time observed at the server includes the queue as it was; units in flight from this process
+ * are added to it. */
 Duration ServerChoice::completionAt(const ServerCandidate& candidate) {
     const double crowd = candidate.inflight / std::max(1.0, candidate.concurrency);
     const auto unitTime = static_cast<double>(candidate.unitTime.count());
--- a/src/pooling/ServerChoice.h
+++ b/src/pooling/ServerChoice.h
@@ -1,4 +1,4 @@
-/** Which of a group's servers a unit of work is sent to. */
+/** Chooses the server of a group to which a unit of work is sent. */
 #pragma once
 
 #include <optional>
@@ -8,69 +8,70 @@
 
 namespace coralhoist::pooling {
 
-/** How far a server is trusted by what became of the requests sent there. */
+/** How far a server is trusted, from the outcomes of the requests sent to it. */
 enum class ServerStanding {
     Admitted,
-    Slow,        /**< It takes what the others have no room for. */
-    OnProbation, /**< It was ejected; a few reads show whether it serves again. */
+    Slow,        /**< Takes only work for which the other servers have no room. */
+    OnProbation, /**< Was ejected; a few reads show whether it has recovered. */
     Ejected,
 };
 
 /** @return a word for logs. */
 const char* describe(ServerStanding standing);
 
-/** One server that may run a unit, and what is known of it. */
+/** One server that may run a unit, and what is known about it. */
 struct ServerCandidate {
-    /** Time that the unit takes at the servers of the group in the mean. */
+    /** Mean time that the unit takes at the servers of the group. */
     Duration unitTime{0};
-    /** Times that reads take there, over those of the same service in the group. */
+    /** Ratio of the time that reads take at this server to the time of the same service in the
+     * group. */
     double slowness = 1;
-    /** Units from this process there, and how many it takes without refusing. */
+    /** Units from this process in flight at the server, and how many it takes without refusing. */
     double inflight = 0;
     double concurrency = 1;
-    /** Time until it has the log position that the unit needs. */
+    /** Time until the server has the log position that the unit needs. */
     Duration readyIn{0};
-    /** Time for a connection that would have to be opened. */
+    /** Time to open a connection if the unit needs a new one. */
     Duration connecting{0};
-    /** Added for what is no time: bytes to another zone, room that others have no other server
-     * for. */
+    /** Added for costs that are not times: traffic to another zone, or taking room from units that
+     * no other server can run. */
     Duration penalty{0};
-    /** It gives no sign of life. */
+    /** The server shows no sign of life. */
     bool suspect = false;
     ServerStanding standing = ServerStanding::Admitted;
-    /** It takes one more now. */
+    /** The server can take one more unit now. */
     bool hasRoom = true;
 };
 
-/** What becomes of the unit. */
+/** The decision for the unit. */
 struct ServerChosen {
-    /** Index of the server; none when the unit waits. */
+    /** Index of the server; nothing when the unit is queued. */
     std::optional<std::size_t> index;
     /** Some server may run it, now or later. */
     bool anyCandidate = false;
-    /** It waits for a replica that will soon have its position; looked at again after this. */
+    /** The unit waits for a replica that will soon have its position; the choice is made again
+     * after this time. */
     std::optional<Duration> replicaIn;
 };
 
 /**
  * Chooses by the time at which a unit is expected to be complete.
  *
- * Answers the load of servers that differ: a server is as slow as it is for the same kind of
- * statement, not as what else it runs. A sum of penalties by mean latency takes a server that runs
+ * Handles servers that differ in speed: a server's slowness is measured on the same kind of
+ * statement, not on its whole mix. A sum of penalties by mean latency mistakes a server that runs
  * longer statements for a slow one, and sends reads that any server could run to the primary.
  *
- * A unit waits for a server without its position only where that completes it sooner than the
- * others do and within the time given; what callers lose by an expectation that fails is bounded
- * by that time. A server that was ejected takes what no other can run; one
- * that is only slow takes what finds no room elsewhere, since a slow answer is worth more than
- * none.
+ * A unit waits for a server that lacks its position only where the unit completes sooner there than
+ * at the other servers and the wait is within the given time; that time bounds what callers lose by
+ * a wrong estimate. An ejected server takes work that no other server can run; a server that is
+ * only slow takes work that finds no room elsewhere, because a slow response is better than none.
  */
 class ServerChoice {
 public:
     /** @param patience the longest time for which the unit may wait for a replica. */
     static ServerChosen choose(const std::vector<ServerCandidate>& candidates, Duration patience);
 
-    /** @return when the unit would be complete there, counted from now. */
+    /** @return the time from now until the unit would be complete at the candidate. */
     static Duration completionAt(const ServerCandidate& candidate);
 
 private:
--- a/src/pooling/ServerConnections.cpp
+++ b/src/pooling/ServerConnections.cpp
@@ -7,11 +7,12 @@
 namespace coralhoist::pooling {
 namespace {
 
-/** How long the number of connections at which a server refused holds. */
+/** How long the number of connections at which a server refused another one is used as a limit. */
 constexpr Duration kConnectionLimitPause = std::chrono::seconds(1);
-/** A server that leaves answers out now and then has its idle connections verified so often. */
+/** Minimum time between two verifications of the idle connections of a server that sometimes does
+ * not respond. */
 constexpr Duration kVerificationPause = std::chrono::milliseconds(500);
-/** A connection that has not run anything is not closed for another tenant for so long: its
+/** A connection that has not run anything is not closed for another tenant within this time: its
  * statement takes it within one round of the event loop, 1 ms at most. */
 constexpr Duration kUnusedConnectionKept = std::chrono::milliseconds(100);
 
@@ -60,10 +61,10 @@
 
 /**
  * @return the idle connection of the tenant that uses the group least, to be closed for one of
- * another tenant; of equals the one used the longest ago. Choosing by age alone opens more
- * connections where there are many tenants. One that was opened a moment ago and not
- * used yet is still to serve who it was opened for: without that, two tenants could close each
- * other's connections in turn and run nothing.
+ * another tenant; of equals, the one that was used the longest ago. Choosing by age alone opens
+ * more connections where there are many tenants. A connection that was opened a moment ago and has
+ * not been used yet must still serve the tenant for which it was opened: otherwise two tenants
+ * could close each other's connections in turn and run nothing.
  */
 std::optional<ConnectionId> ServerConnections::replaceable(const ServerState& server,
                                                            const TenantActivity& activity) const {
@@ -269,10 +270,11 @@
 }
 
 /**
- * Open connections may go silent for good, without a reset, while new ones work. When a statement
- * gets no answer, those that have been idle since before it was sent have to answer a command of
- * the proxy before they serve again; one that does not is closed like an abandoned one. Else each
- * of them would cost a read its patience, and leave a write in doubt.
+ * Open connections may become silent for good, without a reset, while new ones work. When a
+ * statement gets no response, connections that have been idle since before it was sent must respond
+ * to a command of the proxy before they serve again; one that does not respond is closed like an
+ * abandoned one. Otherwise each of them would cost a read its timeout, and leave the outcome of a
+ * write unknown.
  */
 void ServerConnections::verifyIdle(ServerState& server, TimePoint since) {
     const TimePoint now = _clock.now();
--- a/src/pooling/ServerConnections.h
+++ b/src/pooling/ServerConnections.h
@@ -17,25 +17,27 @@
 
 namespace coralhoist::pooling {
 
-/** What the connections need of whoever sends statements on them. */
+/** What the connections need of the component that sends statements on them. */
 class ConnectionOwner {
 public:
     virtual ~ConnectionOwner() = default;
 
-    /** @return the server that the connection leads to; null when it is not known any more. */
+    /** @return the server to which the connection leads; null when the server is not known any
+     * more. */
     virtual ServerState* serverOf(const ServerConnection& connection) = 0;
 
-    /** @return whether nothing may be sent to the server, not even to end what is open there. */
+    /** @return whether nothing may be sent to the server, not even a command that ends an open
+     * transaction. */
     virtual bool isClosed(const ServerState& server) = 0;
 
-    /** A server of the group has room for something else. */
+    /** A server of the group has room for another statement or connection. */
     virtual void onRoom(const GroupName& group) = 0;
 
-    /** The connection is being forgotten: nothing on it will be answered. */
+    /** The connection is being removed: nothing on it will be answered. */
     virtual void onForgotten(const ServerConnection& connection) = 0;
 };
 
-/** What one more connection to a server depends on. */
+/** The conditions for one more connection to a server. */
 struct OpeningTerms {
     /** Connections that this process may hold to the server. */
     std::uint32_t limit = 1;
@@ -44,77 +46,87 @@
 };
 
 /**
- * Keeps the counts of each `ServerState` in step with its connections. A connection serves one
+ * Keeps the counters of each `ServerState` consistent with its connections. A connection serves one
  * tenant for as long as it is open.
  *
- * Invariants: an idle connection is in its server's list of idle ones and nowhere else; a
- * connection that its user has left serves nobody before it has answered all that was sent on it.
+ * Invariants: an idle connection is in its server's list of idle connections and in no other list;
+ * a connection that its user has abandoned serves no other user before everything that was sent on
+ * it has been answered.
  */
 class ServerConnections {
 public:
-    /** References outlive the connections. */
+    /** The referenced objects must outlive this object. */
     ServerConnections(const Clock& clock, ServerConnector& connector, ServerEvents& events,
                       ConnectionOwner& owner, const PoolerKnobs& knobs,
                       PoolerStatistics& statistics);
 
-    /** @return the connection; null for one that is not open any more. */
+    /** @return the connection; null if it is not open any more. */
     ServerConnection* find(ConnectionId id);
     const ServerConnection* find(ConnectionId id) const;
 
     const std::unordered_map<ConnectionId, ServerConnection>& all() const { return _connections; }
 
-    /** @return whether an idle connection of the tenant stands ready. */
+    /** @return whether an idle connection of the tenant is available. */
     bool hasIdleFor(const ServerState& server, const TenantName& tenant) const;
 
-    /** @return whether one is being opened or another one may be, now, in place of an idle one if
-     * there are as many as may be. */
+    /** @return whether a connection may be opened now, replacing an idle one if the limit is
+     * reached. */
     bool mayOpen(const ServerState& server, const OpeningTerms& terms) const;
 
-    /** @return the connection that is being opened; none when no further one may be now. */
+    /** @return the connection that is being opened; nothing when no further one may be opened now.
+     */
     std::optional<ConnectionId> open(ServerState& server, const TenantName& tenant,
                                      const OpeningTerms& terms);
 
-    /** Of the tenant's idle connections, takes one with the values in force, or else one without
-     * any. @return null when none is idle. */
+    /** Takes one of the tenant's idle connections, preferring one with these values in force, then
+     * one without any values. @return null when none is idle. */
     ServerConnection* takeIdle(ServerState& server, const TenantName& tenant,
                                const SessionValues& values);
 
-    /** It has been opened and stands ready. */
+    /** The connection has been opened and is available. */
     void noteOpened(ServerConnection& connection);
 
-    /** It could not be opened: it is forgotten, and the server left alone for a while.
-     * @param refusal what the server answered, if it did. */
+    /**
+     * The connection could not be opened: it is removed, and no connection to the server is opened
+     * for a while.
+     * @param refusal the server's error, if it responded.
+     */
     void noteOpenFailed(ServerConnection& connection, const std::optional<StatementError>& refusal);
 
-    /** Its user is done with it. @param state what the server told of it last. */
+    /** The connection's user is done with it. @param state session state that the server reported
+     * last. */
     void release(ServerConnection& connection, SessionState state);
 
-    /** Its user went away; what is unanswered is waited for and dropped. */
+    /** The connection's user has gone; pending results are awaited and dropped. */
     void abandon(ServerConnection& connection);
 
-    /** Ends whatever is open on it. Its user is done with it. It is closed for that, and gone
-     * afterwards, where its server must not be sent anything. */
+    /** Ends any transaction that is open on the connection. Its user is done with it. Where nothing
+     * may be sent to its server, the connection is closed instead, and removed afterwards. */
     void rollBack(ServerConnection& connection);
 
-    /** A statement of its transaction was answered; the transaction goes on without a slot. */
+    /** A statement of the connection's transaction was answered; the transaction continues without
+     * a slot. */
     void noteResting(ServerConnection& connection);
 
-    /** Closes it, which rolls back what is open on it. */
+    /** Closes the connection, which rolls back a transaction that is open on it. */
     void discard(ConnectionId id);
 
-    /** It is gone. */
+    /** Removes a connection that is already closed. */
     void forget(ConnectionId id);
 
-    /** Closes all idle ones of the server. */
+    /** Closes all idle connections of the server. */
     void discardIdle(ServerState& server);
 
-    /** Closes those that have been idle for too long on a node that does not execute the group. */
+    /** Closes connections that have been idle for too long on a node that does not execute the
+     * group. */
     void discardUnused(ServerState& server);
 
-    /** Has those that have been idle since before a moment answer before they serve again. */
+    /** Requires connections that have been idle since before a moment to respond before they serve
+     * again. */
     void verifyIdle(ServerState& server, TimePoint since);
 
-    /** @return those that take too long to open, or whose abandoned statement is not answered. */
+    /** @return connections that take too long to open, or whose abandoned statement is not
+     * answered. */
     std::vector<ConnectionId> late() const;
 
 private:
--- a/src/pooling/ServerDirectory.cpp
+++ b/src/pooling/ServerDirectory.cpp
@@ -9,10 +9,11 @@
 namespace coralhoist::pooling {
 namespace {
 
-/** Servers write their entries again within this time of the store's return. */
+/** Servers write their entries again within this time after the store came back in an older state.
+ */
 constexpr Duration kWrittenAgainWithin = std::chrono::seconds(2);
 
-/** @return whether the entry is from before what is known, though the store showed it later. */
+/** @return whether the entry is older than the known one, although the store returned it later. */
 bool isOlderCopy(const ListedServer& listed, const ServerAnnouncement& announcement) {
     return !listed.removed && listed.announcement.version.era < announcement.version.era &&
            announcement.sequence < listed.announcement.sequence;
@@ -20,7 +21,8 @@
 
 }  // namespace
 
-/** @return all lives that are listed under the id, removed ones included, by group and name. */
+/** @return all incarnations that are listed under the id, including removed ones, by group and
+ * name. */
 std::vector<ServerDirectory::Life> ServerDirectory::livesOf(const std::string& id) {
     std::vector<Life> lives;
     const auto groups = _groupsOfId.find(id);
@@ -38,7 +40,8 @@
     return lives;
 }
 
-/** Ends other lives of the server. @return whether the announcement is of its present life. */
+/** Removes other incarnations of the server. @return whether the announcement is of its present
+ * incarnation. */
 bool ServerDirectory::supersede(const ServerAnnouncement& announcement, TimePoint now) {
     const ServerName& server = announcement.address.server;
     for (const Life& life : livesOf(idOf(server))) {
@@ -58,7 +61,8 @@
     return true;
 }
 
-/** @return whether somebody else wrote it: the server itself tells its start in each entry. */
+/** @return whether another writer wrote the entry: the server itself includes its start time in
+ * each entry. */
 bool ServerDirectory::isForeign(const ServerAnnouncement& announcement) {
     const ServerName& server = announcement.address.server;
     if (tellsStart(server)) {
@@ -71,7 +75,8 @@
 
 bool ServerDirectory::put(const ServerAnnouncement& announcement, TimePoint now) {
     if (isForeign(announcement)) {
-        // It names no server; until the server's own next entry there is none under its id.
+        // The entry names no server; no server is listed under its id until the server's own next
+        // entry.
         return remove(announcement.address.server, announcement.version, now);
     }
     const ServerAddress& address = announcement.address;
@@ -79,7 +84,7 @@
     ListedServer& listed = _groups[address.group][address.server];
     if (listed.superseded || announcement.version < listed.announcement.version ||
         !supersede(announcement, now)) {
-        // A name that was not listed before stays away.
+        // A name that was not listed before stays unlisted.
         listed.removed = listed.removed || !listed.announcement.version.exists();
         return false;
     }
@@ -134,7 +139,8 @@
     }
 }
 
-/** @return whether it was listed before the store returned older, and may be listed again soon. */
+/** @return whether the server was listed before the store reverted to an older state, and may be
+ * listed again soon. */
 bool ServerDirectory::mayBeWrittenAgain(const ListedServer& listed, TimePoint now) const {
     return listed.announcement.version.era < _era && now < _eraSince + kWrittenAgainWithin;
 }
@@ -162,7 +168,7 @@
     }
 }
 
-/** Forgets the group's servers that were removed before. */
+/** Forgets the group's servers that were removed before this time. */
 void ServerDirectory::expireIn(const GroupName& group, Servers& servers, TimePoint before) {
     std::vector<std::string> ids;
     std::erase_if(servers, [&](const auto& entry) {
--- a/src/pooling/ServerLife.h
+++ b/src/pooling/ServerLife.h
@@ -1,7 +1,7 @@
 /**
- * Names of servers that may end and start again under their id. A server that has started again
- * knows nothing of before, so everywhere in the product it is another server: its name is its id
- * and the moment of its start, and what was learnt under one name is never used under another.
+ * Names of server incarnations. A server may end and start again under its id. A restarted server
+ * has no knowledge of its past, so it is treated as a different server everywhere: its name is its
+ * id and its start time, and what was learned under one name is never used under another.
  */
 #pragma once
 
@@ -13,16 +13,16 @@
 
 namespace coralhoist::pooling {
 
-/** Between the id and the start; no id contains it. */
+/** Separates the id from the start time; no id contains it. */
 constexpr char kLifeSeparator = '@';
 
 /**
- * @param startedAt tells the lives of a server apart; nothing where the platform does not tell it.
- *        Only its equality counts: clocks of different machines may differ.
+ * @param startedAt distinguishes the incarnations of a server; nothing where the platform does not
+ * report it. It is compared only for equality, because clocks of different machines may differ.
  */
 ServerName nameOfLife(const std::string& id, std::optional<std::int64_t> startedAt);
 
-/** @return whether the name tells a start. */
+/** @return whether the name contains a start time. */
 bool tellsStart(const ServerName& server);
 
 /** @return the id by which the server itself and the platform know it. */
--- a/src/pooling/SlotTimeEstimates.cpp
+++ b/src/pooling/SlotTimeEstimates.cpp
@@ -5,7 +5,7 @@
 namespace coralhoist::pooling {
 namespace {
 
-/** Weight of a new time: one in so many. */
+/** A new time has the weight of one in this many. */
 constexpr int kSmoothing = 16;
 
 }  // namespace
--- a/src/pooling/SlotTimeEstimates.h
+++ b/src/pooling/SlotTimeEstimates.h
@@ -1,4 +1,4 @@
-/** How much of a server's time the statements of each service take, as observed. */
+/** Observed times that the statements of each service occupy a server's slot. */
 #pragma once
 
 #include <map>
@@ -8,26 +8,26 @@
 
 namespace coralhoist::pooling {
 
-/** What is placed on a server as a whole. */
+/** The unit of work that is placed on a server as a whole. */
 enum class UnitKind {
-    Read,        /**< One statement that reads. */
+    Read,        /**< One statement that only reads. */
     Write,       /**< One statement that may change data. */
     Transaction, /**< All statements of a transaction together. */
 };
 
 /**
  * Smoothed times that units of work occupy a slot, by service and kind. The times include the wait
- * in the server's own queue, which is alike for all statements of a group, so they serve to compare
- * units of one group with each other and not as absolute figures.
+ * in the server's own queue, which is similar for all statements of a group, so they are suitable
+ * for comparing units of one group with each other but not as absolute figures.
  */
 class SlotTimeEstimates {
 public:
-    /** Takes the time that a finished unit has occupied a slot. */
+    /** Adds the time that a finished unit occupied a slot. */
     void add(const ServiceName& service, UnitKind kind, Duration took);
 
     /**
-     * @return the expected time of a unit. While none of its kind has been seen, that of the
-     * service's dearest other kind; zero for an unknown service.
+     * @return the expected time of a unit. While no unit of its kind has been observed, the highest
+     * time of the service's other kinds; zero for an unknown service.
      */
     Duration expected(const ServiceName& service, UnitKind kind) const;
 
--- a/src/pooling/SourceChoice.cpp
+++ b/src/pooling/SourceChoice.cpp
@@ -8,7 +8,7 @@
 namespace coralhoist::pooling {
 namespace {
 
-/** A node that failed is asked again after this time; doubled each time, with jitter. */
+/** A node that failed is asked again after this time; it doubles each time, with jitter. */
 constexpr Duration kFirstPause = std::chrono::milliseconds(500);
 constexpr Duration kLongestPause = std::chrono::milliseconds(4000);
 
--- a/src/pooling/SourceChoice.h
+++ b/src/pooling/SourceChoice.h
@@ -1,4 +1,4 @@
-/** Choice among nodes that may be asked, and how long one that failed is left alone. */
+/** Chooses among nodes that may be asked, with a backoff for nodes that failed. */
 #pragma once
 
 #include <functional>
@@ -11,21 +11,21 @@
 
 namespace coralhoist::pooling {
 
-/** Remembers which nodes gave no answer. */
+/** Remembers which nodes did not respond. */
 class SourceChoice {
 public:
-    /** @param random outlives the choice. */
+    /** @param random outlives this object. */
     explicit SourceChoice(RandomSource& random) : _random(random) {}
 
-    /** @return the first candidate that is not passed over and can be reached. */
+    /** @return the first candidate that is not in backoff and can be reached. */
     std::optional<NodeName> choose(const std::vector<NodeName>& candidates,
                                    const std::function<bool(const NodeName&)>& canReach,
                                    TimePoint now) const;
 
-    /** The node failed: it is left alone for a time that doubles with each failure in a row. */
+    /** The node failed: it is not asked for a time that doubles with each failure in a row. */
     void passOver(const NodeName& node, TimePoint now);
 
-    /** The node answered well. */
+    /** The node returned a usable response. */
     void noteGood(const NodeName& node) { _passedOver.erase(node); }
 
 private:
--- a/src/pooling/WayToServer.h
+++ b/src/pooling/WayToServer.h
@@ -1,4 +1,4 @@
-/** The way between a node and a server as part of what a statement takes. */
+/** The network round trip between a node and a server as part of a statement's time. */
 #pragma once
 
 #include <algorithm>
@@ -8,18 +8,20 @@
 namespace coralhoist::pooling {
 
 /**
- * A statement on its way holds no slot of the server. Without this a server in another region looks
- * slow, and what it takes is used up by statements that have not reached it or left it already.
+ * A statement in transit does not occupy a slot of the server. If the round trip were not accounted
+ * for, a server in another region would appear slow, and its concurrency would be used up by
+ * statements that have not reached it yet or have left it already.
  */
 struct WayToServer {
-    /** The way there and back. */
+    /** Network time to the server and back. */
     Duration roundTrip{0};
 
-    /** @return of the time from sending a statement to its result, the part at the server. */
+    /** @return the part of the time from sending a statement to its result that is spent at the
+     * server. */
     Duration atServer(Duration took) const { return std::max(Duration(0), took - roundTrip); }
 
     /**
-     * @param atServer time that statements take at the server.
+     * @param atServer time that statements spend at the server.
      * @return how many statements are in flight for each one that is at the server.
      */
     double inflightPerRunning(Duration atServer) const {
--- a/tests/pooling/CapacitySharesTest.cpp
+++ b/tests/pooling/CapacitySharesTest.cpp
@@ -46,7 +46,8 @@
         return {node(sender), group, demand, true};
     }
 
-    /** @return the shares of an executor that has heard of those for which there is a demand. */
+    /** @return the shares of an executor that has received reports of the executors with a given
+     * demand. */
     CapacityShares inCrowd(std::size_t self, const std::vector<Demand>& demands,
                            std::size_t executors) const {
         CapacityShares shares;
@@ -124,7 +125,7 @@
 }
 
 TEST(CapacityShares, ARankTakesOnlyWhatLowerOnesLeave) {
-    // The first rank fills half of the server's slots for a statement's time.
+    // The lowest rank fills half of the server's slots for the time of one statement.
     const std::vector<Demand> half = {{milliseconds(150)}, {Duration(0), milliseconds(1500)}};
     DOUBLES_EQUAL(4.5, bound(0, half), 1e-9);
     DOUBLES_EQUAL(4.5, bound(1, half), 1e-9);
@@ -225,7 +226,8 @@
 }
 
 TEST(CapacityShares, AFractionIsServedInTurns) {
-    // A quarter of 9 statements each: two at any time, and a third for a quarter of it.
+    // Each executor has a quarter of 9 statements: two at any time, and a third one for a quarter
+    // of the time.
     CapacityShares shares = inCrowd(0, std::vector<Demand>(4, Demand{milliseconds(900)}), 4);
     DOUBLES_EQUAL(2.25, shares.boundAt(server, clock.now()), 1e-9);
     CHECK_TRUE(shares.admits(server, 1, clock.now()));
@@ -234,7 +236,7 @@
     shares.noteSent(server, 2, clock.now());
     CHECK_TRUE(shares.admits(server, 1, clock.now()));
     CHECK_FALSE(shares.admits(server, 2, clock.now()));
-    // Somebody is woken for the next turn, once.
+    // One wake-up is returned for the next turn, and only once.
     const std::optional<TimePoint> wake = shares.takeTurnWake(server, clock.now());
     CHECK_TRUE(wake.has_value() && *wake > clock.now());
     CHECK_FALSE(shares.takeTurnWake(server, clock.now()).has_value());
--- a/tests/pooling/CatchUpEstimateTest.cpp
+++ b/tests/pooling/CatchUpEstimateTest.cpp
@@ -18,7 +18,7 @@
         return {1, position};
     }
 
-    /** Shows positions every 250 ms; the lag changes by the step each time. */
+    /** Observes positions every 250 ms; the lag changes by `step` each time. */
     void follow(int times, Duration firstLag, Duration step) {
         for (int index = 0; index < times; ++index) {
             now += milliseconds(250);
@@ -105,7 +105,7 @@
         estimate.refuse(at(900), now, pauses);
     }
     now += milliseconds(10);
-    // A commit's answer, a status or another read shows it.
+    // The response to a commit, a status request or another read reports the position.
     estimate.observe(at(950), Duration(0), now);
     CHECK(until(950, milliseconds(0)) == Duration(0));
     now += milliseconds(10);
--- a/tests/pooling/ExecutorPlacementTest.cpp
+++ b/tests/pooling/ExecutorPlacementTest.cpp
@@ -33,7 +33,7 @@
     return placement;
 }
 
-/** @return the nodes that take themselves for executors. */
+/** @return the nodes that consider themselves executors. */
 std::set<int> executors(const GroupName& group, int count) {
     std::set<int> result;
     for (int index = 0; index < count; ++index) {
@@ -163,7 +163,7 @@
     return GroupName("g" + std::to_string(index));
 }
 
-/** Nodes join and leave; some keep their names and change their zones. */
+/** Nodes join and leave; some keep their names but change zones. */
 TEST(ExecutorPlacement, FollowingChangesChoosesAsAFreshStartDoes) {
     const std::vector<ProxyNode> all = nodes(90);
     ExecutorPlacement following(node(0).name, node(0).zone, 2);
@@ -192,7 +192,7 @@
     }
 }
 
-/** @return ranks computed for one node that joins and leaves again. */
+/** @return the number of ranks computed when one node joins and leaves again. */
 std::uint64_t workOfOneChange(int count) {
     ExecutorPlacement placement = placementOf(0, nodes(count));
     for (int index = 0; index < kManyGroups; ++index) {
@@ -203,7 +203,7 @@
     const std::uint64_t joined = placement.ranksComputed();
     UNSIGNED_LONGS_EQUAL(kManyGroups, joined - before);
     const std::size_t lost = placement.applyNodes(nodes(count)).size();
-    // Only the groups that it executed are ranked again, in its zone.
+    // Only the groups that the node executed are ranked again, and only in its zone.
     CHECK(placement.ranksComputed() - joined <=
           lost * (static_cast<std::size_t>(count) / kZones + 1));
     return placement.ranksComputed() - before;
@@ -212,7 +212,7 @@
 TEST(ExecutorPlacement, OneNodeThatJoinsAndLeavesCostsNoMoreAmongMany) {
     const std::uint64_t few = workOfOneChange(60);
     const std::uint64_t many = workOfOneChange(960);
-    // A node has fewer groups among many nodes, which are ranked among more.
+    // Among many nodes, each node executes fewer groups, but each group is ranked among more nodes.
     CHECK(many < few * 2);
 }
 
--- a/tests/pooling/LeadershipTrackerTest.cpp
+++ b/tests/pooling/LeadershipTrackerTest.cpp
@@ -18,7 +18,7 @@
         announcePrimaries({name});
     }
 
-    /** All of them claim to be the primary; no other server is listed. */
+    /** All listed servers claim to be the primary. */
     void announcePrimaries(const std::vector<std::string>& names) {
         ServerDirectory directory;
         for (const std::string& name : names) {
@@ -66,7 +66,7 @@
     CHECK_FALSE(tracker.isCertainFor(start));
 }
 
-/** The store has returned older, and may have lost a later announcement. */
+/** The store has reverted to an older state, and may have lost a later announcement. */
 TEST(LeadershipTracker, ARecordThatIsNotConfirmedProvesNothing) {
     announcePrimary("s1");
     PromotionNotice notice;
@@ -125,7 +125,8 @@
     record(PromotionPhase::None, "s1", 1, 5, start);
     tracker.confirmByRecord({0, 5}, start);
     CHECK_TRUE(tracker.mayWrite(start));
-    // Another server may have led since, unseen here, and reads may still rest on proofs of that.
+    // Another server may have led since without this node noticing, and reads may still rely on
+    // proofs of its leadership.
     const TimePoint announced = start + std::chrono::seconds(5);
     record(PromotionPhase::Promoting, "s1", 3, 9, announced);
     CHECK_FALSE(tracker.mayWrite(announced + milliseconds(499)));
--- a/tests/pooling/OutlierDetectorTest.cpp
+++ b/tests/pooling/OutlierDetectorTest.cpp
@@ -37,7 +37,7 @@
         return detector.standingOf(server(number)) == ServerStanding::Admitted;
     }
 
-    /** Ejects the server and waits until it is on probation. */
+    /** Ejects the server and advances the time until the server is on probation. */
     void toProbation(int number, Duration ejection = milliseconds(500)) {
         succeed(number, 6);
         fail(number, 5);
--- a/tests/pooling/PrimaryWatchTest.cpp
+++ b/tests/pooling/PrimaryWatchTest.cpp
@@ -41,7 +41,8 @@
     CHECK_TRUE(SuspicionReason::Silent == after(milliseconds(401)));
 }
 
-/** Who is told of silence asks for the status, gets it, and leaves the primary alone. */
+/** A component that is notified of silence requests the status, gets it, and does not act on the
+ * primary. Reporting silence first would therefore hide that writes are unanswered. */
 TEST(PrimaryWatch, UnansweredWritesAreToldBeforeSilence) {
     primary.silentSince = start;
     watch.noteWrite(ConnectionId(1), primary.address.server, start);
--- a/tests/pooling/ProofExchangeTest.cpp
+++ b/tests/pooling/ProofExchangeTest.cpp
@@ -49,7 +49,7 @@
     std::vector<GivenAnswer> answers;
     std::vector<LeadershipProof> proofs;
     bool reachable = true;
-    /** Nodes "b" and "c" are in the zone; one of the three is its reader. */
+    /** Nodes "b" and "c" are in the zone; one of the three nodes is its reader. */
     std::vector<ProxyNode> zone{node("a", "z"), node("b", "z"), node("c", "z")};
     std::unique_ptr<ReaderTree> tree;
     std::unique_ptr<ProofExchange> exchange;
@@ -114,7 +114,7 @@
         askingInOtherZones += elsewhere ? 1 : 0;
     }
     UNSIGNED_LONGS_EQUAL(1, readers);
-    // The readers of the six other zones ask it.
+    // The readers of the six other zones ask the node that reads the store.
     UNSIGNED_LONGS_EQUAL(6, askingInOtherZones);
 }
 
@@ -149,7 +149,7 @@
     UNSIGNED_LONGS_EQUAL(0, readings.size());
     advance(milliseconds(1));
     UNSIGNED_LONGS_EQUAL(1, readings.size());
-    // Its late answer is no longer waited for.
+    // The late response of the passed-over node is ignored.
     exchange->onProofAnswer(questions[0].number, HandedProof{milliseconds(0), {{kGroup, {0, 5}}}});
     UNSIGNED_LONGS_EQUAL(0, proofs.size());
     finishReading(RecordVersions{});
@@ -245,7 +245,7 @@
         }
         clock.advance(milliseconds(10));
     }
-    // Three seconds: pauses of 30 to 60 ms that grow to 250 to 500 ms.
+    // The test spans three seconds: pauses of 30 to 60 ms grow to pauses of 250 to 500 ms.
     CHECK_TRUE(asked >= 6);
     CHECK_TRUE(asked <= 16);
 }
@@ -256,7 +256,7 @@
     finishReading(RecordVersions{});
     want();
     UNSIGNED_LONGS_EQUAL(0, readings.size());
-    // A record that was not known changes that.
+    // A newly learned record ends the pause.
     exchange->noteRecord({0, 7});
     exchange->onTick(clock.now());
     UNSIGNED_LONGS_EQUAL(1, readings.size());
--- a/tests/pooling/ReaderTreeTest.cpp
+++ b/tests/pooling/ReaderTreeTest.cpp
@@ -43,11 +43,12 @@
     }
 }
 
-/** A link of 20 Mbit/s with a tenth of a processor, and one of 1,000 Mbit/s with a whole one. */
+/** Capacities of a node with a link of 20 Mbit/s and a tenth of a processor, and of one with a link
+ * of 1,000 Mbit/s and a whole processor. */
 constexpr std::uint32_t kPlain = 2400;
 constexpr std::uint32_t kLarge = 1'000'000;
 
-/** Of each zone's nodes the first twentieth is large. */
+/** The first twentieth of each zone's nodes is large. */
 std::vector<ProxyNode> estate(int count) {
     std::vector<ProxyNode> result;
     for (int index = 0; index < count; ++index) {
@@ -58,7 +59,7 @@
     return result;
 }
 
-/** @return how many nodes ask each node first. */
+/** @return for each node, how many nodes ask it first. */
 std::map<NodeName, std::size_t> askersOf(const std::vector<ProxyNode>& nodes) {
     std::map<NodeName, std::size_t> askers;
     for (const ProxyNode& node : nodes) {
@@ -71,7 +72,7 @@
     return askers;
 }
 
-/** All that the store holds, times the askers, passes a reader's link. */
+/** A reader's link carries the store's whole content once for each node that asks it. */
 TEST(ReaderTree, NodesThatCanPassOnMoreReadForTheOthers) {
     for (const int count : {120, 480}) {
         const std::vector<ProxyNode> nodes = estate(count);
--- a/tests/pooling/ServerChoiceTest.cpp
+++ b/tests/pooling/ServerChoiceTest.cpp
@@ -106,13 +106,14 @@
 
 /**
  * A load on one primary and two replicas with six slots each: short statements that only the
- * primary can run, and long reads that any can. One replica runs everything half as fast.
+ * primary can run, and long reads that any server can run. One replica runs everything at half the
+ * speed.
  */
 class UnevenLoad {
 public:
     using Policy = std::function<std::size_t(const UnevenLoad&, Duration readTime)>;
 
-    /** What is known of a server while the load runs. */
+    /** What is known about a server while the load runs. */
     struct Server {
         double speed = 1;
         std::vector<double> freeAt = std::vector<double>(6, 0.0);
@@ -147,13 +148,13 @@
     std::array<Server, 3> servers;
     std::mt19937 random;
     double now = 0;
-    /** A millisecond. */
+    /** Mean number of statements that arrive per millisecond. */
     double arrivals = 0;
 
 private:
     static constexpr int kStatements = 20000;
 
-    /** @return the time until its answer; estimates follow it. */
+    /** @return the time until the statement's response; the estimates are updated with it. */
     double run(Server& server, double work, bool isRead) {
         const auto slot = std::min_element(server.freeAt.begin(), server.freeAt.end());
         const double end = std::max(now, *slot) + work / server.speed;
@@ -200,7 +201,7 @@
     return best;
 }
 
-/** Takes the one of two servers chosen by chance that has less in flight. */
+/** Chooses two servers at random and takes the one that has less in flight. */
 std::size_t byTwoChoices(const UnevenLoad& load, Duration /*readTime*/) {
     static std::mt19937 random{11};
     const std::size_t first = random() % 3;
@@ -208,7 +209,7 @@
     return load.inflight(first) <= load.inflight(second) ? first : second;
 }
 
-/** @return the share in time, the mean of several random loads. */
+/** @return the share of statements in time, as the mean of several random loads. */
 double play(const UnevenLoad::Policy& policy, double lastSpeed, double arrivals) {
     constexpr unsigned kLoads = 8;
     double sum = 0;
@@ -222,7 +223,7 @@
     return sum / kLoads;
 }
 
-/** @param allowance what chance alone makes of policies that are worth the same. */
+/** @param allowance difference that chance alone makes between policies of equal quality. */
 void compare(double lastSpeed, double arrivals, double allowance = 0) {
     const double completion = play(byCompletion, lastSpeed, arrivals);
     const double penalties = play(byPenalties, lastSpeed, arrivals);
--- a/tests/pooling/ServerConnectionsTest.cpp
+++ b/tests/pooling/ServerConnectionsTest.cpp
@@ -1,4 +1,5 @@
-/** Connections to one server: what may be opened, what is lent, and when they serve again. */
+/** Connections to one server: when they may be opened, which one is lent, and when they serve
+ * again. */
 #include <CppUTest/TestHarness.h>
 
 #include <map>
@@ -11,7 +12,7 @@
 
 using std::chrono::milliseconds;
 
-/** Takes no events: the test tells the connections what has happened. */
+/** Ignores all events: the test notifies the connections itself. */
 class IgnoredEvents final : public ServerEvents {
 public:
     void onOpened(ConnectionId /*connection*/, OpTime /*position*/) override {}
--- a/tests/pooling/ServerDirectoryTest.cpp
+++ b/tests/pooling/ServerDirectoryTest.cpp
@@ -41,7 +41,7 @@
     STRCMP_EQUAL("s1", idOf(nameOfLife("s1", 200)).c_str());
 }
 
-/** Clocks are not trusted: a later life may tell an earlier start. */
+/** Clocks are not trusted: a later incarnation may report an earlier start time. */
 TEST(ServerDirectory, TheOrderOfStartsDoesNotCount) {
     put(life(200, 5));
     CHECK_TRUE(put(life(100, 6)));
@@ -98,7 +98,8 @@
     UNSIGNED_LONGS_EQUAL(1, directory.serversOf(kGroup).size());
 }
 
-/** An entry without a start, under the id of a server that tells one, is somebody else's. */
+/** An entry without a start time, under the id of a server that reports one, is by another writer.
+ */
 TEST(ServerDirectory, AnEntryOfAnotherWriterNamesNoServerAndEndsNoLife) {
     put(life(100, 5));
     ServerAnnouncement foreign = life(100, 6);
@@ -137,7 +138,7 @@
     }
 };
 
-/** The store shows what the server had written before it announced its end. */
+/** The store returns the entry that the server had written before it announced that it drains. */
 TEST(ServerDirectoryReturn, AServerThatDrainsDoesSoAfterTheStoreHasReturnedOlder) {
     directory.put(announcement({1, 50}, 9, true), clock.now());
     directory.replaceAll({announcement({2, 40}, 7, false)}, {2, 45}, clock.now());
@@ -173,7 +174,7 @@
     CHECK_TRUE(listed().removed);
 }
 
-/** Three servers in each of many groups. */
+/** Each of many groups has three servers. */
 TEST_GROUP(ServerDirectoryAtSize) {
     testing::ManualClock clock;
 
@@ -189,7 +190,8 @@
         }
         return announcements;
     }
-    /** @return servers that were looked at to take a list of all and one change of each. */
+    /** @return the number of servers examined to process a list of all servers and one change of
+     * each. */
     std::uint64_t workOf(int groups) const {
         ServerDirectory directory;
         std::vector<ServerAnnouncement> announcements = estate(groups);
@@ -214,7 +216,7 @@
     UNSIGNED_LONGS_EQUAL(small * 30, workOf(300));
 }
 
-/** What a list shows that was known before concerns nobody. */
+/** Entries of a list that were already known mark no group as changed. */
 TEST(ServerDirectoryAtSize, AListTellsWhichGroupsItChanges) {
     ServerDirectory directory;
     std::vector<ServerAnnouncement> announcements = estate(50);
@@ -227,7 +229,7 @@
     CHECK_TRUE(directory.takeChanged() == (std::set<GroupName>{GroupName("g2"), GroupName("g49")}));
 }
 
-/** A server may take another group's address and start again there. */
+/** A server may receive another group's address and start again there. */
 TEST(ServerDirectoryAtSize, ALifeThatEndsInOneGroupByAStartInAnotherChangesBoth) {
     ServerDirectory directory;
     const std::vector<ServerAnnouncement> announcements = estate(2);
