--- a/src/pooling/CatchUpEstimate.cpp
+++ b/src/pooling/CatchUpEstimate.cpp
@@ -18,8 +18,8 @@
 /** Below this rate a replica counts as making no progress: callers time out before it reaches the
  * position that it lacks. */
 constexpr double kStandsStill = 0.2;
-/** Above this rate a replica is no longer blocked by what delayed it: it reaches the remaining
- * positions after its usual lag. */
+/** Upper bound of the rate. A replica that advances faster skips the part of the log that delayed
+ * it, and reaches the remaining positions after its usual lag. */
 constexpr double kHighestRate = 20;
 /** A position that the replica lacked when it was last observed is not expected before this time:
  * it is a network round trip. */
--- a/src/pooling/ReaderTree.cpp
+++ b/src/pooling/ReaderTree.cpp
@@ -82,8 +82,8 @@
 }
 
 /**
- * @return the readers that this one asks: those of its region that rank above it; if it is the
- * region's first, the firsts of other regions that rank above it.
+ * @return the readers that this one asks: the readers of its region that rank above it; if it is
+ * the first of its region, the first readers of other regions that rank above it.
  */
 std::vector<NodeName> readersAbove(const Reader& self, const ZoneName& zone,
                                    const std::map<ZoneName, Readers>& zones,
--- a/src/pooling/ServerChoice.h
+++ b/src/pooling/ServerChoice.h
@@ -36,7 +36,7 @@
     /** Added for costs that are not times: traffic to another zone, or taking room from units that
      * no other server can run. */
     Duration penalty{0};
-    /** The server shows no sign of life. */
+    /** The server seems to have failed: it is silent or unreachable. */
     bool suspect = false;
     ServerStanding standing = ServerStanding::Admitted;
     /** The server can take one more unit now. */
--- a/tests/pooling/LeadershipTrackerTest.cpp
+++ b/tests/pooling/LeadershipTrackerTest.cpp
@@ -18,7 +18,7 @@
         announcePrimaries({name});
     }
 
-    /** All listed servers claim to be the primary. */
+    /** All of the named servers claim to be the primary; no other server is listed. */
     void announcePrimaries(const std::vector<std::string>& names) {
         ServerDirectory directory;
         for (const std::string& name : names) {
