--- a/src/placement/QuotaRequestUnits.cpp
+++ b/src/placement/QuotaRequestUnits.cpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "pooling/ServerLife.h"
+#include "pooling/ServerIncarnation.h"
 
 namespace coralhoist::placement {
 namespace {
--- a/src/pooling/ServerDirectory.cpp
+++ b/src/pooling/ServerDirectory.cpp
@@ -4,7 +4,7 @@
 #include <set>
 #include <string>
 
-#include "pooling/ServerLife.h"
+#include "pooling/ServerIncarnation.h"
 
 namespace coralhoist::pooling {
 namespace {
--- a/src/pooling/ServerLife.cpp
+++ b/src/pooling/ServerIncarnation.cpp
@@ -1,4 +1,4 @@
-#include "pooling/ServerLife.h"
+#include "pooling/ServerIncarnation.h"
 
 namespace coralhoist::pooling {
 
--- a/src/pooling/StatementPooler.h
+++ b/src/pooling/StatementPooler.h
@@ -36,13 +36,13 @@
 #include "pooling/ServerConnections.h"
 #include "pooling/ServerDirectory.h"
 #include "pooling/ServerLink.h"
+#include "pooling/ServerRoundTrip.h"
 #include "pooling/ServerState.h"
 #include "pooling/ServiceCatalog.h"
 #include "pooling/SlotTimeEstimates.h"
 #include "pooling/Statement.h"
 #include "pooling/TenantActivity.h"
 #include "pooling/UnitForwarding.h"
-#include "pooling/WayToServer.h"
 #include "pooling/ZoneLoad.h"
 
 namespace coralhoist::pooling {
--- a/tests/platform_adapter/CodecTest.cpp
+++ b/tests/platform_adapter/CodecTest.cpp
@@ -6,7 +6,7 @@
 #include "base/Error.h"
 #include "platform/PlatformCodec.h"
 #include "platform/StoreProtocol.h"
-#include "pooling/ServerLife.h"
+#include "pooling/ServerIncarnation.h"
 
 namespace coralhoist::platform_adapter {
 namespace {
--- a/tests/pooling/RegionsTest.cpp
+++ b/tests/pooling/RegionsTest.cpp
@@ -7,7 +7,7 @@
 
 #include "PoolerFixture.h"
 #include "pooling/ReaderTree.h"
-#include "pooling/WayToServer.h"
+#include "pooling/ServerRoundTrip.h"
 
 namespace coralhoist::pooling {
 namespace {
--- a/tests/pooling/ServerDirectoryTest.cpp
+++ b/tests/pooling/ServerDirectoryTest.cpp
@@ -1,7 +1,7 @@
 #include <CppUTest/TestHarness.h>
 
 #include "pooling/ServerDirectory.h"
-#include "pooling/ServerLife.h"
+#include "pooling/ServerIncarnation.h"
 #include "tests/support/ManualClock.h"
 
 namespace coralhoist::pooling {
