--- a/src/cluster/StoreFollower.cpp
+++ b/src/cluster/StoreFollower.cpp
@@ -207,7 +207,7 @@
                    std::chrono::duration_cast<milliseconds>(answer->agesWhenAsked.front()).count());
         _news = true;
     }
-    _choice.noteGood(answered.node);
+    _choice.noteSuccess(answered.node);
     _fedBy = answered.node;
     _fedOrigin = answer->origin;
     _nextQuestion = now;
--- a/src/failover/GroupFailover.cpp
+++ b/src/failover/GroupFailover.cpp
@@ -95,7 +95,7 @@
     if (record.version <= _record.version) {
         return;
     }
-    const bool announces = pooling::announcesAnew(_record.notice(), record.notice());
+    const bool announces = pooling::announcesNewSuccessor(_record.notice(), record.notice());
     // Written again after a return of the store, a closed record is no change of hands.
     const bool isSame = record.phase == pooling::PromotionPhase::None &&
                         record.phase == _record.phase && record.holder == _record.holder &&
--- a/src/pooling/CapacityShares.cpp
+++ b/src/pooling/CapacityShares.cpp
@@ -10,7 +10,7 @@
 
 /** A statement that found no room is assumed to be still queued for this time: the pooler retries
  * each queued statement every 50 ms. */
-constexpr Duration kSameQueue = std::chrono::milliseconds(120);
+constexpr Duration kStillQueuedFor = std::chrono::milliseconds(120);
 /** A rank is served before the higher ones as far as its demand fills the slots for this time,
  * which is about the time of one statement. With a longer time, queued statements of a low rank
  * would wait behind running statements of a high one. */
@@ -41,12 +41,12 @@
 }  // namespace
 
 void CapacityShares::noteNoRoom(TimePoint now) {
-    _queuedUntil = now + kSameQueue;
+    _queuedUntil = now + kStillQueuedFor;
 }
 
 void CapacityShares::noteRefused(const ServerName& server, TimePoint now) {
     _refusedBy.insert(server);
-    _lacksRoomUntil = now + kCrowdEndsAfter;
+    _lacksRoomUntil = now + kOverloadEndsAfter;
 }
 
 bool CapacityShares::take(const LoadReport& report, const std::vector<NodeName>& executors,
@@ -54,14 +54,14 @@
     if (std::find(executors.begin(), executors.end(), report.sender) == executors.end()) {
         return false;
     }
-    _heard[report.sender] = {report.demandByRank, report.crowded, now};
+    _reports[report.sender] = {report.demandByRank, report.crowded, now};
     return true;
 }
 
 void CapacityShares::update(const std::vector<NodeName>& executors, OwnLoad load, TimePoint now) {
     _others = executors.size();
     _load = std::move(load);
-    std::erase_if(_heard, [&](const auto& entry) {
+    std::erase_if(_reports, [&](const auto& entry) {
         const bool executes =
             std::find(executors.begin(), executors.end(), entry.first) != executors.end();
         return !executes || !isFresh(entry.second, now);
@@ -69,17 +69,17 @@
     const double equalPart = _load.taken / static_cast<double>(_others + 1);
     const bool queued = now < _queuedUntil;
     if (queued && static_cast<double>(_load.statements) > equalPart) {
-        _lacksRoomUntil = now + kCrowdEndsAfter;
+        _lacksRoomUntil = now + kOverloadEndsAfter;
     }
-    if (!isCrowded(now)) {
-        _crowdedSince.reset();
+    if (!isOverloaded(now)) {
+        _overloadedSince.reset();
         _inForce = false;
         _turns.clear();
         _refusedBy.clear();
         return;
     }
-    _crowdedSince = _crowdedSince.value_or(now);
-    _inForce = now - *_crowdedSince >= kSettling && exceedsServers(now);
+    _overloadedSince = _overloadedSince.value_or(now);
+    _inForce = now - *_overloadedSince >= kSettling && exceedsServers(now);
 }
 
 /** @return whether all executors together have more statements than the servers take at once;
@@ -93,56 +93,57 @@
     return known > _load.taken * knownPart(now);
 }
 
-bool CapacityShares::isCrowded(TimePoint now) const {
-    const auto tellsCrowd = [&](const auto& entry) {
+bool CapacityShares::isOverloaded(TimePoint now) const {
+    const auto reportsOverload = [&](const auto& entry) {
         return entry.second.crowded && isFresh(entry.second, now);
     };
-    return _others > 0 && (lacksRoom(now) || std::any_of(_heard.begin(), _heard.end(), tellsCrowd));
+    return _others > 0 &&
+           (lacksRoom(now) || std::any_of(_reports.begin(), _reports.end(), reportsOverload));
 }
 
-bool CapacityShares::takeTelling(TimePoint now) {
-    const Duration since = now - _toldAt;
+bool CapacityShares::takeReportDue(TimePoint now) {
+    const Duration since = now - _lastReportAt;
     const bool due = since >= kRepeatEvery || (since >= kReportEvery && hasChanged());
-    if (!due || !isCrowded(now)) {
+    if (!due || !isOverloaded(now)) {
         return false;
     }
-    _told = _load.demandByRank;
-    _toldAt = now;
+    _lastReported = _load.demandByRank;
+    _lastReportAt = now;
     return true;
 }
 
 bool CapacityShares::hasChanged() const {
     const std::vector<Duration>& own = _load.demandByRank;
-    const std::size_t ranks = std::max(own.size(), _told.size());
+    const std::size_t ranks = std::max(own.size(), _lastReported.size());
     for (std::size_t rank = 0; rank < ranks; ++rank) {
-        if (differs(demandAt(own, rank), demandAt(_told, rank))) {
+        if (differs(demandAt(own, rank), demandAt(_lastReported, rank))) {
             return true;
         }
     }
     return false;
 }
 
-std::size_t CapacityShares::heardCount(TimePoint now) const {
+std::size_t CapacityShares::reportCount(TimePoint now) const {
     return static_cast<std::size_t>(
-        std::count_if(_heard.begin(), _heard.end(),
+        std::count_if(_reports.begin(), _reports.end(),
                       [&](const auto& entry) { return isFresh(entry.second, now); }));
 }
 
 /** @return the fraction of all executors whose demand is known. */
 double CapacityShares::knownPart(TimePoint now) const {
-    return static_cast<double>(heardCount(now) + 1) / static_cast<double>(_others + 1);
+    return static_cast<double>(reportCount(now) + 1) / static_cast<double>(_others + 1);
 }
 
 /** @return the known demand of all executors, by rank. */
 std::vector<Duration> CapacityShares::demandOfAll(TimePoint now) const {
     std::vector<Duration> all = _load.demandByRank;
-    for (const auto& [name, heard] : _heard) {
-        if (!isFresh(heard, now)) {
+    for (const auto& [name, received] : _reports) {
+        if (!isFresh(received, now)) {
             continue;
         }
-        all.resize(std::max(all.size(), heard.demandByRank.size()));
-        for (std::size_t rank = 0; rank < heard.demandByRank.size(); ++rank) {
-            all[rank] += heard.demandByRank[rank];
+        all.resize(std::max(all.size(), received.demandByRank.size()));
+        for (std::size_t rank = 0; rank < received.demandByRank.size(); ++rank) {
+            all[rank] += received.demandByRank[rank];
         }
     }
     return all;
@@ -170,12 +171,12 @@
     return part * knownPart(now);
 }
 
-bool CapacityShares::binds(const SharedServer& server) const {
+bool CapacityShares::limits(const SharedServer& server) const {
     return _inForce && (server.primary || _refusedBy.contains(server.name));
 }
 
-double CapacityShares::boundAt(const SharedServer& server, TimePoint now) const {
-    if (!binds(server)) {
+double CapacityShares::limitAt(const SharedServer& server, TimePoint now) const {
+    if (!limits(server)) {
         return std::numeric_limits<double>::infinity();
     }
     return partOf(server.slots, now) * std::max(1.0, server.taken);
@@ -192,10 +193,10 @@
 
 bool CapacityShares::admits(const SharedServer& server, std::uint32_t inflight,
                             TimePoint now) const {
-    if (!binds(server)) {
+    if (!limits(server)) {
         return true;
     }
-    const double bound = boundAt(server, now);
+    const double bound = limitAt(server, now);
     const double whole = std::floor(bound);
     if (inflight + 1 <= whole) {
         return true;
@@ -208,10 +209,10 @@
 }
 
 void CapacityShares::noteSent(const SharedServer& server, std::uint32_t inflight, TimePoint now) {
-    if (!binds(server)) {
+    if (!limits(server)) {
         return;
     }
-    const double bound = boundAt(server, now);
+    const double bound = limitAt(server, now);
     const double whole = std::floor(bound);
     if (inflight + 1 <= whole) {
         return;
@@ -225,10 +226,10 @@
 
 std::optional<TimePoint> CapacityShares::takeTurnWake(const SharedServer& server, TimePoint now) {
     const auto found = _turns.find(server.name);
-    if (!binds(server) || found == _turns.end()) {
+    if (!limits(server) || found == _turns.end()) {
         return std::nullopt;
     }
-    const double bound = boundAt(server, now);
+    const double bound = limitAt(server, now);
     const TimePoint due = found->second.last + intervalOf(server, bound - std::floor(bound));
     if (due <= now || found->second.wakeAt > now) {
         return std::nullopt;
--- a/src/pooling/CapacityShares.h
+++ b/src/pooling/CapacityShares.h
@@ -83,7 +83,7 @@
      * reports have arrived by then. */
     static constexpr Duration kSettling = std::chrono::milliseconds(150);
     /** An overload ends when there was no sign of it for this time. */
-    static constexpr Duration kCrowdEndsAfter = std::chrono::seconds(1);
+    static constexpr Duration kOverloadEndsAfter = std::chrono::seconds(1);
 
     /** A statement is queued because no server has room. */
     void noteNoRoom(TimePoint now);
@@ -107,7 +107,7 @@
     void update(const std::vector<NodeName>& executors, OwnLoad load, TimePoint now);
 
     /** @return whether this executor or another one reports an overload. */
-    bool isCrowded(TimePoint now) const;
+    bool isOverloaded(TimePoint now) const;
 
     /** @return whether this executor itself was refused for lack of room, or has a queue and more
      * than an equal part of the work. */
@@ -115,7 +115,7 @@
 
     /** @return whether this executor's demand must be reported now; if so, it is recorded as
      * reported. */
-    bool takeTelling(TimePoint now);
+    bool takeReportDue(TimePoint now);
 
     const std::vector<Duration>& demand() const { return _load.demandByRank; }
 
@@ -123,11 +123,11 @@
     bool inForce() const { return _inForce; }
 
     /** @return whether shares limit this executor at the server. */
-    bool binds(const SharedServer& server) const;
+    bool limits(const SharedServer& server) const;
 
     /** @return the statements that this executor may have in flight on average; infinite where
      * shares do not limit it. */
-    double boundAt(const SharedServer& server, TimePoint now) const;
+    double limitAt(const SharedServer& server, TimePoint now) const;
 
     /** @return whether one more statement may be sent to the server. */
     bool admits(const SharedServer& server, std::uint32_t inflight, TimePoint now) const;
@@ -142,10 +142,10 @@
     std::optional<TimePoint> takeTurnWake(const SharedServer& server, TimePoint now);
 
     /** @return the number of executors whose reports are still used. */
-    std::size_t heardCount(TimePoint now) const;
+    std::size_t reportCount(TimePoint now) const;
 
 private:
-    struct Heard {
+    struct ReceivedReport {
         std::vector<Duration> demandByRank;
         bool crowded = false;
         TimePoint at{};
@@ -164,18 +164,20 @@
     bool hasChanged() const;
     std::vector<Duration> demandOfAll(TimePoint now) const;
     bool exceedsServers(TimePoint now);
-    bool isFresh(const Heard& heard, TimePoint now) const { return now - heard.at < kReportAge; }
+    bool isFresh(const ReceivedReport& received, TimePoint now) const {
+        return now - received.at < kReportAge;
+    }
 
-    std::map<NodeName, Heard> _heard;
+    std::map<NodeName, ReceivedReport> _reports;
     std::size_t _others = 0;
     OwnLoad _load;
     /** Mean slot time of this executor's statements as of the last update that had any. */
     Duration _statementTime = std::chrono::milliseconds(30);
-    std::vector<Duration> _told;
-    TimePoint _toldAt{};
+    std::vector<Duration> _lastReported;
+    TimePoint _lastReportAt{};
     TimePoint _queuedUntil{};
     TimePoint _lacksRoomUntil{};
-    std::optional<TimePoint> _crowdedSince;
+    std::optional<TimePoint> _overloadedSince;
     bool _inForce = false;
     std::map<ServerName, Turns> _turns;
     /** Servers that refused a statement of this executor for lack of room during this overload. */
--- a/src/pooling/CatchUpEstimate.cpp
+++ b/src/pooling/CatchUpEstimate.cpp
@@ -17,19 +17,19 @@
 constexpr Duration kKeepsUpWithin = std::chrono::milliseconds(300);
 /** Below this rate a replica counts as making no progress: callers time out before it reaches the
  * position that it lacks. */
-constexpr double kStandsStill = 0.2;
+constexpr double kStalledRate = 0.2;
 /** Upper bound of the rate. A replica that advances faster skips the part of the log that delayed
  * it, and reaches the remaining positions after its usual lag. */
 constexpr double kHighestRate = 20;
 /** A position that the replica lacked when it was last observed is not expected before this time:
  * it is a network round trip. */
-constexpr Duration kSoonest = std::chrono::milliseconds(10);
+constexpr Duration kEarliestProgress = std::chrono::milliseconds(10);
 /** A rate is extrapolated for no longer than this. */
-constexpr Duration kForesight = std::chrono::seconds(1);
+constexpr Duration kExtrapolationLimit = std::chrono::seconds(1);
 /** An observation that is older than this is verified by a read. A read that is refused costs its
  * caller a round trip, whereas a replica that has caught up unnoticed costs the primary all the
  * reads of that time. */
-constexpr Duration kProvedAfter = std::chrono::milliseconds(250);
+constexpr Duration kVerifiedAfter = std::chrono::milliseconds(250);
 
 }  // namespace
 
@@ -45,7 +45,7 @@
     }
     _observedAt = now;
     _lag = lag;
-    if (_anchorAt == TimePoint{} || now - _anchorAt > kForesight) {
+    if (_anchorAt == TimePoint{} || now - _anchorAt > kExtrapolationLimit) {
         _anchorAt = now;
         _anchorLag = lag;
         return;
@@ -82,7 +82,7 @@
         return mayProbe ? std::optional(Duration(0)) : std::nullopt;
     }
     if (*wait > Duration(0)) {
-        return mayProbe && now - _observedAt > kProvedAfter ? Duration(0) : *wait;
+        return mayProbe && now - _observedAt > kVerifiedAfter ? Duration(0) : *wait;
     }
     return isRefuted(floor) && !mayProbe ? _nextProbe - now : Duration(0);
 }
@@ -94,14 +94,14 @@
         return Duration(0);
     }
     const Duration lag = lagAt(now);
-    const Duration behind = std::max(reachedAt + lag, _observedAt + kSoonest) - now;
+    const Duration behind = std::max(reachedAt + lag, _observedAt + kEarliestProgress) - now;
     if (behind <= Duration(0)) {
         return Duration(0);
     }
     if (lag <= kKeepsUpWithin) {
         return behind;
     }
-    if (_rate < kStandsStill) {
+    if (_rate < kStalledRate) {
         return std::nullopt;
     }
     return std::chrono::duration_cast<Duration>(behind / _rate);
@@ -114,7 +114,7 @@
     // A replica that falls behind is assumed to continue to do so; the progress of one that catches
     // up is extrapolated only for a limited time.
     const Duration since = now - _observedAt;
-    const Duration counted = _rate > 1 ? std::min(since, kForesight) : since;
+    const Duration counted = _rate > 1 ? std::min(since, kExtrapolationLimit) : since;
     const auto change = std::chrono::duration_cast<Duration>(counted * (1 - _rate));
     return std::max(Duration(0), _lag + change);
 }
--- a/src/pooling/ConnectionAlignment.cpp
+++ b/src/pooling/ConnectionAlignment.cpp
@@ -9,9 +9,9 @@
                                        std::size_t preparedBound) {
     std::vector<ServerCommand> commands;
     const auto isForeign = [&values](const auto& value) { return !values.contains(value.first); };
-    const bool crowded = connection.prepared.size() > preparedBound;
-    if (!connection.pinned &&
-        (crowded || std::any_of(connection.values.begin(), connection.values.end(), isForeign))) {
+    const bool exceedsBound = connection.prepared.size() > preparedBound;
+    if (!connection.pinned && (exceedsBound || std::any_of(connection.values.begin(),
+                                                           connection.values.end(), isForeign))) {
         ServerCommand reset;
         reset.kind = ServerCommand::Kind::Reset;
         commands.push_back(std::move(reset));
--- a/src/pooling/ExecutorPlacement.cpp
+++ b/src/pooling/ExecutorPlacement.cpp
@@ -34,8 +34,8 @@
         return changed;
     }
     for (auto& [group, executors] : _cache) {
-        const bool lost = takeLeft(group, executors, changes);
-        const bool gained = takeJoined(group, executors, changes);
+        const bool lost = applyDepartures(group, executors, changes);
+        const bool gained = applyJoins(group, executors, changes);
         if (lost || gained) {
             arrange(group, executors);
             changed.push_back(group);
@@ -72,8 +72,8 @@
 }
 
 /** Chooses the executors again in each zone where an executor of the group has left. */
-bool ExecutorPlacement::takeLeft(const GroupName& group, Executors& executors,
-                                 const NodeChanges& changes) const {
+bool ExecutorPlacement::applyDepartures(const GroupName& group, Executors& executors,
+                                        const NodeChanges& changes) const {
     bool changed = false;
     for (const auto& [zone, names] : changes.left) {
         const std::set<NodeName>& left = names;
@@ -89,7 +89,7 @@
     return changed;
 }
 
-bool ExecutorPlacement::takeJoined(const GroupName& group, Executors& executors,
+bool ExecutorPlacement::applyJoins(const GroupName& group, Executors& executors,
                                    const NodeChanges& changes) const {
     bool changed = false;
     NodeRanking ranking(group.value());
--- a/src/pooling/ExecutorPlacement.h
+++ b/src/pooling/ExecutorPlacement.h
@@ -88,8 +88,9 @@
     const Executors& executorsOf(const GroupName& group) const;
     Executors compute(const GroupName& group) const;
     std::vector<RankedNode> chooseIn(const ZoneName& zone, const GroupName& group) const;
-    bool takeLeft(const GroupName& group, Executors& executors, const NodeChanges& changes) const;
-    bool takeJoined(const GroupName& group, Executors& executors, const NodeChanges& changes) const;
+    bool applyDepartures(const GroupName& group, Executors& executors,
+                         const NodeChanges& changes) const;
+    bool applyJoins(const GroupName& group, Executors& executors, const NodeChanges& changes) const;
     void arrange(const GroupName& group, Executors& executors) const;
 
     NodeName _self;
--- a/src/pooling/LeadershipTracker.cpp
+++ b/src/pooling/LeadershipTracker.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-bool announcesAnew(const PromotionNotice& before, const PromotionNotice& after) {
+bool announcesNewSuccessor(const PromotionNotice& before, const PromotionNotice& after) {
     return after.phase == PromotionPhase::Promoting &&
            (before.phase != after.phase || before.term != after.term ||
             before.successor != after.successor);
@@ -54,7 +54,7 @@
     if (notice.version < _notice.version) {
         return;
     }
-    const bool announced = announcesAnew(_notice, notice);
+    const bool announced = announcesNewSuccessor(_notice, notice);
     const bool otherSuccessor =
         notice.successor != _notice.successor || notice.base != _notice.base;
     _notice = notice;
--- a/src/pooling/LeadershipTracker.h
+++ b/src/pooling/LeadershipTracker.h
@@ -57,7 +57,7 @@
 };
 
 /** @return whether the later notice announces a successor that the earlier one does not. */
-bool announcesAnew(const PromotionNotice& before, const PromotionNotice& after);
+bool announcesNewSuccessor(const PromotionNotice& before, const PromotionNotice& after);
 
 /**
  * Leadership of one group. Invariants: the newest known term never decreases; a server that has
--- a/src/pooling/OutlierDetector.cpp
+++ b/src/pooling/OutlierDetector.cpp
@@ -71,10 +71,10 @@
         if (before != ServerStanding::Admitted) {
             step(record, now);
         } else if ((outside + 1) * 2 <= serving.size()) {
-            const ServerStanding judged = judge(server, serving, now);
-            if (judged != ServerStanding::Admitted) {
+            const ServerStanding evaluated = evaluate(server, serving, now);
+            if (evaluated != ServerStanding::Admitted) {
                 ++outside;
-                eject(record, judged, now);
+                eject(record, evaluated, now);
             }
         }
         if (record.standing != before) {
@@ -143,8 +143,9 @@
     return evidence;
 }
 
-ServerStanding OutlierDetector::judge(const ServerName& server,
-                                      const std::vector<ServerName>& serving, TimePoint now) const {
+ServerStanding OutlierDetector::evaluate(const ServerName& server,
+                                         const std::vector<ServerName>& serving,
+                                         TimePoint now) const {
     const Evidence evidence = evidenceOf(_records.at(server), now);
     if (evidence.requests() < kLeastRequests) {
         return ServerStanding::Admitted;
--- a/src/pooling/OutlierDetector.h
+++ b/src/pooling/OutlierDetector.h
@@ -93,8 +93,8 @@
 
     static Tally& tallyAt(Record& record, TimePoint now);
     static Evidence evidenceOf(const Record& record, TimePoint now);
-    ServerStanding judge(const ServerName& server, const std::vector<ServerName>& serving,
-                         TimePoint now) const;
+    ServerStanding evaluate(const ServerName& server, const std::vector<ServerName>& serving,
+                            TimePoint now) const;
     std::vector<Evidence> othersEvidence(const ServerName& server,
                                          const std::vector<ServerName>& serving,
                                          TimePoint now) const;
--- a/src/pooling/PoolerDispatch.cpp
+++ b/src/pooling/PoolerDispatch.cpp
@@ -186,7 +186,7 @@
 }
 
 /** @return the way to a server of another region; none to one of the own. */
-WayToServer StatementPooler::wayTo(const ServerState& server) const {
+ServerRoundTrip StatementPooler::wayTo(const ServerState& server) const {
     return {_distances == nullptr ? Duration(0) : _distances->to(server.zone, _clock.now()).time};
 }
 
--- a/src/pooling/PoolerResults.cpp
+++ b/src/pooling/PoolerResults.cpp
@@ -251,7 +251,7 @@
         }
         _connections.release(connection, state);
     } else if (connection.inflight) {
-        _connections.noteResting(connection);
+        _connections.noteIdleInTransaction(connection);
         markDirty(connection.group);
     }
     if (inDoubt) {
@@ -298,7 +298,7 @@
         operation.notBefore = now + _knobs.busyPause;
         operation.lastObstacle = describe(fault);
         ++operation.attempts;
-        _connections.noteResting(connection);
+        _connections.noteIdleInTransaction(connection);
         wakeAt(session, operation.notBefore);
         return;
     }
--- a/src/pooling/PoolerSending.cpp
+++ b/src/pooling/PoolerSending.cpp
@@ -141,7 +141,7 @@
     if (!verdict.isForbidden() && next < operation.deadline) {
         operation.phase = OperationPhase::Queued;
         operation.notBefore = next;
-        _connections.noteResting(connection);
+        _connections.noteIdleInTransaction(connection);
         wakeAt(session, next);
         return false;
     }
--- a/src/pooling/PoolerShares.cpp
+++ b/src/pooling/PoolerShares.cpp
@@ -95,7 +95,7 @@
     static const std::vector<NodeName> kNone;
     const std::vector<NodeName>& others = shared ? _placement.preferenceOf(name) : kNone;
     const bool before = shares.inForce();
-    const bool matters = shared && (!group.waiting.empty() || shares.isCrowded(now));
+    const bool matters = shared && (!group.waiting.empty() || shares.isOverloaded(now));
     shares.update(others, matters ? ownLoad(name, group) : OwnLoad{}, now);
     if (shares.inForce()) {
         ++_statistics.groupsSharing;
@@ -103,7 +103,7 @@
     if (shares.inForce() != before) {
         logShares(name, group, now);
     }
-    if (_loadReporter == nullptr || !shares.takeTelling(now)) {
+    if (_loadReporter == nullptr || !shares.takeReportDue(now)) {
         return;
     }
     const LoadReport report{_knobs.node, name, shares.demand(), shares.lacksRoom(now)};
@@ -128,7 +128,7 @@
     LogEvent("pooling", LogLevel::Info, begins ? "shares.begun" : "shares.ended")
         .field("group", name)
         .field("executors", _placement.executorCount(name))
-        .field("heard", group.shares.heardCount(now))
+        .field("heard", group.shares.reportCount(now))
         .field("lacks_room", group.shares.lacksRoom(now))
         .field("waiting", group.waiting.size());
 }
--- a/src/pooling/PoolerTimers.cpp
+++ b/src/pooling/PoolerTimers.cpp
@@ -155,8 +155,8 @@
         markDirty(group);
     }
     return isWarm || isSuspect || !group.waiting.empty() || hasConnections(group) ||
-           group.floors.mayDrop() || !group.outliers.admitsAll() || group.shares.isCrowded(now) ||
-           group.shares.inForce();
+           group.floors.mayDrop() || !group.outliers.admitsAll() ||
+           group.shares.isOverloaded(now) || group.shares.inForce();
 }
 
 bool StatementPooler::hasConnections(const GroupState& group) {
--- a/src/pooling/PrimaryWatch.cpp
+++ b/src/pooling/PrimaryWatch.cpp
@@ -6,12 +6,12 @@
 namespace {
 
 /** A write that is unanswered for this time indicates that the primary can't commit. */
-constexpr Duration kWritePatience = std::chrono::milliseconds(700);
+constexpr Duration kWriteTimeout = std::chrono::milliseconds(700);
 /** This many connections that break instead of responding, with no response for this time, indicate
  * that the primary serves nobody. Connections that are all reset at one moment break within a
  * shorter time. */
 constexpr std::uint32_t kLostInRow = 5;
-constexpr Duration kLossPatience = std::chrono::milliseconds(500);
+constexpr Duration kLossTimeout = std::chrono::milliseconds(500);
 
 }  // namespace
 
@@ -40,7 +40,7 @@
     if (primary.silentSince && now - *primary.silentSince > suspectAfter) {
         return SuspicionReason::Silent;
     }
-    if (primary.lostInRow >= kLostInRow && now - primary.losingSince > kLossPatience) {
+    if (primary.lostInRow >= kLostInRow && now - primary.losingSince > kLossTimeout) {
         return SuspicionReason::StatementsLost;
     }
     return std::nullopt;
@@ -53,7 +53,7 @@
 bool PrimaryWatch::leavesWritesUnanswered(const ServerState& primary, TimePoint now) const {
     return std::any_of(_writes.begin(), _writes.end(), [&](const auto& entry) {
         const Write& write = entry.second;
-        return write.server == primary.address.server && now - write.at > kWritePatience;
+        return write.server == primary.address.server && now - write.at > kWriteTimeout;
     });
 }
 
--- a/src/pooling/ProofExchange.cpp
+++ b/src/pooling/ProofExchange.cpp
@@ -22,8 +22,8 @@
  * latency objective in use (120 ms). The timeout grows to twice the time that the last proof took,
  * because a slow store makes all nodes slow.
  */
-constexpr Duration kShortestPatience = milliseconds(40);
-constexpr Duration kLongestPatience = milliseconds(500);
+constexpr Duration kShortestTimeout = milliseconds(40);
+constexpr Duration kLongestTimeout = milliseconds(500);
 constexpr int kTimesTheLast = 2;
 /** Pause after a proof or a failure; without it, reads that a proof did not help would cause
  * requests without end. */
@@ -59,8 +59,8 @@
     }
 }
 
-Duration ProofExchange::patience() const {
-    return std::clamp(_lastTook * kTimesTheLast, kShortestPatience, kLongestPatience);
+Duration ProofExchange::responseTimeout() const {
+    return std::clamp(_lastTook * kTimesTheLast, kShortestTimeout, kLongestTimeout);
 }
 
 bool ProofExchange::isGoodFor(const ProofAsker& asker, TimePoint now) const {
@@ -114,7 +114,7 @@
         return;
     }
     if (_question) {
-        if (now < _question->askedAt + patience()) {
+        if (now < _question->askedAt + responseTimeout()) {
             return;
         }
         _choice.passOver(_question->node, now);
@@ -139,7 +139,7 @@
     if (handsOut) {
         return TimePoint::min();
     }
-    return _question ? _question->askedAt + patience() : _nextAttempt;
+    return _question ? _question->askedAt + responseTimeout() : _nextAttempt;
 }
 
 std::optional<NodeName> ProofExchange::chooseSource(TimePoint now) const {
@@ -165,7 +165,7 @@
         readStore(now);
         return;
     }
-    _choice.noteGood(answered.node);
+    _choice.noteSuccess(answered.node);
     _lastTook = now - answered.askedAt;
     accept({answered.askedAt - proof->age, proof->recordVersions, proof->era}, now);
 }
--- a/src/pooling/ProofExchange.h
+++ b/src/pooling/ProofExchange.h
@@ -77,7 +77,7 @@
     };
 
     bool isNeeded() const { return _wanted || !_askers.empty(); }
-    Duration patience() const;
+    Duration responseTimeout() const;
     bool isGoodFor(const ProofAsker& asker, TimePoint now) const;
     ProofNeed ownNeed() const;
     void answer(const ProofAsker& asker, TimePoint now);
--- a/src/pooling/ServerChoice.cpp
+++ b/src/pooling/ServerChoice.cpp
@@ -26,17 +26,18 @@
 }
 
 ServerChosen ServerChoice::choose(const std::vector<ServerCandidate>& candidates,
-                                  Duration patience) {
+                                  Duration maximumWait) {
     ServerChosen chosen;
     const bool anyTrusted =
         std::any_of(candidates.begin(), candidates.end(), [=](const ServerCandidate& candidate) {
-            return candidate.standing != ServerStanding::Ejected && mayServe(candidate, patience);
+            return candidate.standing != ServerStanding::Ejected &&
+                   mayServe(candidate, maximumWait);
         });
     Duration best{0};
     for (std::size_t index = 0; index < candidates.size(); ++index) {
         const ServerCandidate& candidate = candidates[index];
         const bool isLeftOut = anyTrusted && candidate.standing == ServerStanding::Ejected;
-        if (isLeftOut || !mayServe(candidate, patience)) {
+        if (isLeftOut || !mayServe(candidate, maximumWait)) {
             continue;
         }
         chosen.anyCandidate = true;
@@ -53,16 +54,17 @@
     return chosen;
 }
 
-bool ServerChoice::mayServe(const ServerCandidate& candidate, Duration patience) {
-    return candidate.readyIn <= patience;
+bool ServerChoice::mayServe(const ServerCandidate& candidate, Duration maximumWait) {
+    return candidate.readyIn <= maximumWait;
 }
 
 /** The time observed at the server includes the queue as it was; units in flight from this process
  * are added to it. */
 Duration ServerChoice::completionAt(const ServerCandidate& candidate) {
-    const double crowd = candidate.inflight / std::max(1.0, candidate.concurrency);
+    const double utilization = candidate.inflight / std::max(1.0, candidate.concurrency);
     const auto unitTime = static_cast<double>(candidate.unitTime.count());
-    const Duration running(static_cast<Duration::rep>(unitTime * (candidate.slowness + crowd)));
+    const Duration running(
+        static_cast<Duration::rep>(unitTime * (candidate.slowness + utilization)));
     const bool isLastResort = candidate.suspect || candidate.standing == ServerStanding::Slow;
     const Duration suspicion = isLastResort ? kLastResortCost : Duration(0);
     return candidate.readyIn + candidate.connecting + running + candidate.penalty + suspicion;
--- a/src/pooling/ServerChoice.h
+++ b/src/pooling/ServerChoice.h
@@ -69,13 +69,14 @@
 class ServerChoice {
 public:
     /** @param patience the longest time for which the unit may wait for a replica. */
-    static ServerChosen choose(const std::vector<ServerCandidate>& candidates, Duration patience);
+    static ServerChosen choose(const std::vector<ServerCandidate>& candidates,
+                               Duration maximumWait);
 
     /** @return the time from now until the unit would be complete at the candidate. */
     static Duration completionAt(const ServerCandidate& candidate);
 
 private:
-    static bool mayServe(const ServerCandidate& candidate, Duration patience);
+    static bool mayServe(const ServerCandidate& candidate, Duration maximumWait);
 };
 
 }  // namespace coralhoist::pooling
--- a/src/pooling/ServerConnections.cpp
+++ b/src/pooling/ServerConnections.cpp
@@ -220,7 +220,7 @@
     _connector.send(connection.id, {command});
 }
 
-void ServerConnections::noteResting(ServerConnection& connection) {
+void ServerConnections::noteIdleInTransaction(ServerConnection& connection) {
     ServerState* server = _owner.serverOf(connection);
     if (server != nullptr && connection.inflight) {
         connection.inflight = false;
--- a/src/pooling/ServerConnections.h
+++ b/src/pooling/ServerConnections.h
@@ -106,7 +106,7 @@
 
     /** A statement of the connection's transaction was answered; the transaction continues without
      * a slot. */
-    void noteResting(ServerConnection& connection);
+    void noteIdleInTransaction(ServerConnection& connection);
 
     /** Closes the connection, which rolls back a transaction that is open on it. */
     void discard(ConnectionId id);
--- a/src/pooling/ServerDirectory.cpp
+++ b/src/pooling/ServerDirectory.cpp
@@ -23,30 +23,32 @@
 
 /** @return all incarnations that are listed under the id, including removed ones, by group and
  * name. */
-std::vector<ServerDirectory::Life> ServerDirectory::livesOf(const std::string& id) {
-    std::vector<Life> lives;
+std::vector<ServerDirectory::ListedIncarnation> ServerDirectory::incarnationsOf(
+    const std::string& id) {
+    std::vector<ListedIncarnation> incarnations;
     const auto groups = _groupsOfId.find(id);
     if (groups == _groupsOfId.end()) {
-        return lives;
+        return incarnations;
     }
     for (const GroupName& group : groups->second) {
         for (auto& [name, listed] : _groups.at(group)) {
             ++_serversExamined;
             if (idOf(name) == id) {
-                lives.push_back({group, name, listed});
+                incarnations.push_back({group, name, listed});
             }
         }
     }
-    return lives;
+    return incarnations;
 }
 
 /** Removes other incarnations of the server. @return whether the announcement is of its present
  * incarnation. */
 bool ServerDirectory::supersede(const ServerAnnouncement& announcement, TimePoint now) {
     const ServerName& server = announcement.address.server;
-    for (const Life& life : livesOf(idOf(server))) {
-        ListedServer& listed = life.listed;
-        const bool isSame = life.name == server && life.group == announcement.address.group;
+    for (const ListedIncarnation& incarnation : incarnationsOf(idOf(server))) {
+        ListedServer& listed = incarnation.listed;
+        const bool isSame =
+            incarnation.name == server && incarnation.group == announcement.address.group;
         if (isSame) {
             continue;
         }
@@ -54,9 +56,9 @@
             return false;
         }
         if (!listed.removed) {
-            markRemoved(life.group, listed, now);
+            markRemoved(incarnation.group, listed, now);
         }
-        listed.superseded = listed.superseded || life.name != server;
+        listed.superseded = listed.superseded || incarnation.name != server;
     }
     return true;
 }
@@ -65,12 +67,13 @@
  * each entry. */
 bool ServerDirectory::isForeign(const ServerAnnouncement& announcement) {
     const ServerName& server = announcement.address.server;
-    if (tellsStart(server)) {
+    if (hasStartTime(server)) {
         return false;
     }
-    const std::vector<Life> lives = livesOf(idOf(server));
-    return std::any_of(lives.begin(), lives.end(),
-                       [](const Life& life) { return tellsStart(life.name); });
+    const std::vector<ListedIncarnation> incarnations = incarnationsOf(idOf(server));
+    return std::any_of(
+        incarnations.begin(), incarnations.end(),
+        [](const ListedIncarnation& incarnation) { return hasStartTime(incarnation.name); });
 }
 
 bool ServerDirectory::put(const ServerAnnouncement& announcement, TimePoint now) {
@@ -102,11 +105,12 @@
 }
 
 bool ServerDirectory::remove(const ServerName& server, const StoreVersion& version, TimePoint now) {
-    const bool anyLife = idOf(server) == server.value();
-    for (const Life& life : livesOf(idOf(server))) {
-        const bool isMeant = anyLife || life.name == server;
-        if (isMeant && !life.listed.removed && life.listed.announcement.version <= version) {
-            markRemoved(life.group, life.listed, now);
+    const bool anyIncarnation = idOf(server) == server.value();
+    for (const ListedIncarnation& incarnation : incarnationsOf(idOf(server))) {
+        const bool isMeant = anyIncarnation || incarnation.name == server;
+        if (isMeant && !incarnation.listed.removed &&
+            incarnation.listed.announcement.version <= version) {
+            markRemoved(incarnation.group, incarnation.listed, now);
             return true;
         }
     }
--- a/src/pooling/ServerDirectory.h
+++ b/src/pooling/ServerDirectory.h
@@ -107,7 +107,7 @@
 
 private:
     /** A listed incarnation of a server and where it is listed. */
-    struct Life {
+    struct ListedIncarnation {
         const GroupName& group;
         const ServerName& name;
         ListedServer& listed;
@@ -118,7 +118,7 @@
     void noteEra(std::uint64_t era, TimePoint now);
     bool mayBeWrittenAgain(const ListedServer& listed, TimePoint now) const;
     void markRemoved(const GroupName& group, ListedServer& listed, TimePoint now);
-    std::vector<Life> livesOf(const std::string& id);
+    std::vector<ListedIncarnation> incarnationsOf(const std::string& id);
     void expireIn(const GroupName& group, Servers& servers, TimePoint before);
     void forgetIfUnlisted(const std::string& id, const GroupName& group, const Servers& servers);
 
--- a/src/pooling/ServerIncarnation.h
+++ b/src/pooling/ServerIncarnation.h
@@ -14,16 +14,16 @@
 namespace coralhoist::pooling {
 
 /** Separates the id from the start time; no id contains it. */
-constexpr char kLifeSeparator = '@';
+constexpr char kIncarnationSeparator = '@';
 
 /**
  * @param startedAt distinguishes the incarnations of a server; nothing where the platform does not
  * report it. It is compared only for equality, because clocks of different machines may differ.
  */
-ServerName nameOfLife(const std::string& id, std::optional<std::int64_t> startedAt);
+ServerName incarnationName(const std::string& id, std::optional<std::int64_t> startedAt);
 
 /** @return whether the name contains a start time. */
-bool tellsStart(const ServerName& server);
+bool hasStartTime(const ServerName& server);
 
 /** @return the id by which the server itself and the platform know it. */
 std::string idOf(const ServerName& server);
--- a/src/pooling/ServerRoundTrip.h
+++ b/src/pooling/ServerRoundTrip.h
@@ -12,7 +12,7 @@
  * for, a server in another region would appear slow, and its concurrency would be used up by
  * statements that have not reached it yet or have left it already.
  */
-struct WayToServer {
+struct ServerRoundTrip {
     /** Network time to the server and back. */
     Duration roundTrip{0};
 
--- a/src/pooling/SlotTimeEstimates.cpp
+++ b/src/pooling/SlotTimeEstimates.cpp
@@ -25,11 +25,11 @@
     if (exact != times.end()) {
         return exact->second;
     }
-    Duration dearest(0);
+    Duration longest(0);
     for (const auto& [other, time] : times) {
-        dearest = std::max(dearest, time);
+        longest = std::max(longest, time);
     }
-    return dearest;
+    return longest;
 }
 
 }  // namespace coralhoist::pooling
--- a/src/pooling/SourceChoice.h
+++ b/src/pooling/SourceChoice.h
@@ -26,7 +26,7 @@
     void passOver(const NodeName& node, TimePoint now);
 
     /** The node returned a usable response. */
-    void noteGood(const NodeName& node) { _passedOver.erase(node); }
+    void noteSuccess(const NodeName& node) { _passedOver.erase(node); }
 
 private:
     struct PassedOver {
--- a/src/pooling/StatementPooler.h
+++ b/src/pooling/StatementPooler.h
@@ -358,7 +358,7 @@
     void waitForReplica(PooledSession& session, Duration wait);
     std::uint32_t executorsPerZone() const;
     std::uint32_t connectionBound() const;
-    WayToServer wayTo(const ServerState& server) const;
+    ServerRoundTrip wayTo(const ServerState& server) const;
     double takenBy(const ServerState& server) const;
     Duration distancePenalty(const ServerState& server) const;
     bool isPrimary(const GroupState& group, const ServerState& server) const;
--- a/tests/platform_adapter/CodecTest.cpp
+++ b/tests/platform_adapter/CodecTest.cpp
@@ -126,7 +126,7 @@
 }
 
 TEST(PlatformCodec, AServerIsKnownToThePlatformByItsIdAlone) {
-    const ServerName life = pooling::nameOfLife("i-7f", 1756);
+    const ServerName life = pooling::incarnationName("i-7f", 1756);
     const socket::HttpCall call = codec.promoteCall(GroupName("g1"), life, NodeName("n1"), 31);
     STRCMP_EQUAL(R"({"id":"i-7f","service":"g1"})", call.body.c_str());
     failover::PromotionRecord record;
--- a/tests/pooling/CapacitySharesTest.cpp
+++ b/tests/pooling/CapacitySharesTest.cpp
@@ -65,7 +65,7 @@
     }
 
     double bound(std::size_t self, const std::vector<Demand>& demands) const {
-        return inCrowd(self, demands, demands.size()).boundAt(server, clock.now());
+        return inCrowd(self, demands, demands.size()).limitAt(server, clock.now());
     }
 };
 
@@ -73,8 +73,8 @@
     CapacityShares shares;
     shares.update(othersOf(0, 8), loadOf({milliseconds(3000)}), clock.now());
     CHECK_FALSE(shares.inForce());
-    CHECK_FALSE(shares.takeTelling(clock.now()));
-    CHECK_TRUE(std::isinf(shares.boundAt(server, clock.now())));
+    CHECK_FALSE(shares.takeReportDue(clock.now()));
+    CHECK_TRUE(std::isinf(shares.limitAt(server, clock.now())));
     CHECK_TRUE(shares.admits(server, 100, clock.now()));
 }
 
@@ -82,9 +82,9 @@
     CapacityShares shares;
     shares.noteNoRoom(clock.now());
     shares.update(othersOf(0, 8), loadOf({kStatementTime}), clock.now());
-    CHECK_FALSE(shares.isCrowded(clock.now()));
+    CHECK_FALSE(shares.isOverloaded(clock.now()));
     shares.update(othersOf(0, 8), loadOf({kStatementTime * 2}), clock.now());
-    CHECK_TRUE(shares.isCrowded(clock.now()));
+    CHECK_TRUE(shares.isOverloaded(clock.now()));
 }
 
 TEST(CapacityShares, AReplicaIsBoundOnceItHasRefused) {
@@ -92,11 +92,11 @@
     replica.name = ServerName("s2");
     replica.primary = false;
     CapacityShares shares = inCrowd(0, {{milliseconds(900)}, {milliseconds(900)}}, 2);
-    CHECK_TRUE(shares.binds(server));
-    CHECK_FALSE(shares.binds(replica));
+    CHECK_TRUE(shares.limits(server));
+    CHECK_FALSE(shares.limits(replica));
     CHECK_TRUE(shares.admits(replica, 100, clock.now()));
     shares.noteRefused(replica.name, clock.now());
-    CHECK_TRUE(shares.binds(replica));
+    CHECK_TRUE(shares.limits(replica));
     CHECK_FALSE(shares.admits(replica, 100, clock.now()));
 }
 
@@ -107,7 +107,7 @@
     clock.advance(CapacityShares::kSettling);
     shares.update({}, loadOf({milliseconds(3000)}), clock.now());
     CHECK_FALSE(shares.inForce());
-    CHECK_FALSE(shares.takeTelling(clock.now()));
+    CHECK_FALSE(shares.takeReportDue(clock.now()));
 }
 
 TEST(CapacityShares, PartsFollowDemandAndTheirSumIsTheWhole) {
@@ -137,25 +137,25 @@
 TEST(CapacityShares, SilentExecutorsKeepAnEqualPart) {
     CapacityShares shares = inCrowd(0, {{milliseconds(900)}, {milliseconds(300)}}, 8);
     CHECK_TRUE(shares.inForce());
-    DOUBLES_EQUAL(9.0 * 2 / 8 * 3 / 4, shares.boundAt(server, clock.now()), 1e-9);
+    DOUBLES_EQUAL(9.0 * 2 / 8 * 3 / 4, shares.limitAt(server, clock.now()), 1e-9);
 }
 
 TEST(CapacityShares, AReportDoesNotCountForLongerThanItsAge) {
     CapacityShares shares = inCrowd(0, {{milliseconds(900)}, {milliseconds(900)}}, 2);
     clock.advance(CapacityShares::kReportAge - milliseconds(1));
-    UNSIGNED_LONGS_EQUAL(1, shares.heardCount(clock.now()));
+    UNSIGNED_LONGS_EQUAL(1, shares.reportCount(clock.now()));
     clock.advance(milliseconds(1));
-    UNSIGNED_LONGS_EQUAL(0, shares.heardCount(clock.now()));
+    UNSIGNED_LONGS_EQUAL(0, shares.reportCount(clock.now()));
     shares.noteRefused(server.name, clock.now());
     shares.update(othersOf(0, 2), loadOf({milliseconds(3000)}), clock.now());
     CHECK_TRUE(shares.inForce());
-    DOUBLES_EQUAL(4.5, shares.boundAt(server, clock.now()), 1e-9);
+    DOUBLES_EQUAL(4.5, shares.limitAt(server, clock.now()), 1e-9);
 }
 
 TEST(CapacityShares, ACrowdThatNobodyTellsOfAnyMoreIsOver) {
     CapacityShares shares = inCrowd(0, {{milliseconds(900)}, {milliseconds(900)}}, 2);
     CHECK_TRUE(shares.inForce());
-    clock.advance(CapacityShares::kCrowdEndsAfter);
+    clock.advance(CapacityShares::kOverloadEndsAfter);
     shares.update(othersOf(0, 2), loadOf({milliseconds(900)}), clock.now());
     CHECK_FALSE(shares.inForce());
 }
@@ -181,9 +181,9 @@
     CHECK_TRUE(shares.take(quiet, others, clock.now()));
     shares.update(others, loadOf({milliseconds(60)}), clock.now());
     CHECK_FALSE(shares.inForce());
-    clock.advance(CapacityShares::kCrowdEndsAfter);
+    clock.advance(CapacityShares::kOverloadEndsAfter);
     shares.update(others, loadOf({milliseconds(60)}), clock.now());
-    CHECK_FALSE(shares.isCrowded(clock.now()));
+    CHECK_FALSE(shares.isOverloaded(clock.now()));
 }
 
 TEST(CapacityShares, AnAnswerToACrowdIsNoCrowd) {
@@ -192,44 +192,44 @@
     quiet.crowded = false;
     CHECK_TRUE(shares.take(quiet, othersOf(0, 2), clock.now()));
     shares.update(othersOf(0, 2), loadOf({milliseconds(900)}), clock.now());
-    CHECK_FALSE(shares.isCrowded(clock.now()));
+    CHECK_FALSE(shares.isOverloaded(clock.now()));
 }
 
 TEST(CapacityShares, ANodeThatIsNoExecutorIsNotBelieved) {
     CapacityShares shares;
     CHECK_FALSE(shares.take(report(9, {milliseconds(900)}), othersOf(0, 8), clock.now()));
-    UNSIGNED_LONGS_EQUAL(0, shares.heardCount(clock.now()));
+    UNSIGNED_LONGS_EQUAL(0, shares.reportCount(clock.now()));
 }
 
 TEST(CapacityShares, WhoNoLongerExecutesIsForgotten) {
     CapacityShares shares = inCrowd(0, {{milliseconds(900)}, {milliseconds(900)}, {}}, 3);
     const std::vector<NodeName> fewer = {node(2)};
     shares.update(fewer, loadOf({milliseconds(900)}), clock.now());
-    UNSIGNED_LONGS_EQUAL(1, shares.heardCount(clock.now()));
-    DOUBLES_EQUAL(9.0, shares.boundAt(server, clock.now()), 1e-9);
+    UNSIGNED_LONGS_EQUAL(1, shares.reportCount(clock.now()));
+    DOUBLES_EQUAL(9.0, shares.limitAt(server, clock.now()), 1e-9);
 }
 
 TEST(CapacityShares, TheSameDemandIsToldLessOften) {
     CapacityShares shares = inCrowd(0, {{milliseconds(900)}, {milliseconds(900)}}, 2);
-    CHECK_TRUE(shares.takeTelling(clock.now()));
+    CHECK_TRUE(shares.takeReportDue(clock.now()));
     clock.advance(CapacityShares::kReportEvery);
-    CHECK_FALSE(shares.takeTelling(clock.now()));
+    CHECK_FALSE(shares.takeReportDue(clock.now()));
     shares.update(othersOf(0, 2), loadOf({milliseconds(300)}), clock.now());
-    CHECK_TRUE(shares.takeTelling(clock.now()));
+    CHECK_TRUE(shares.takeReportDue(clock.now()));
     clock.advance(CapacityShares::kReportEvery - milliseconds(1));
     shares.update(othersOf(0, 2), loadOf({milliseconds(900)}), clock.now());
-    CHECK_FALSE(shares.takeTelling(clock.now()));
+    CHECK_FALSE(shares.takeReportDue(clock.now()));
     clock.advance(milliseconds(1));
-    CHECK_TRUE(shares.takeTelling(clock.now()));
+    CHECK_TRUE(shares.takeReportDue(clock.now()));
     clock.advance(CapacityShares::kRepeatEvery);
-    CHECK_TRUE(shares.takeTelling(clock.now()));
+    CHECK_TRUE(shares.takeReportDue(clock.now()));
 }
 
 TEST(CapacityShares, AFractionIsServedInTurns) {
     // Each executor has a quarter of 9 statements: two at any time, and a third one for a quarter
     // of the time.
     CapacityShares shares = inCrowd(0, std::vector<Demand>(4, Demand{milliseconds(900)}), 4);
-    DOUBLES_EQUAL(2.25, shares.boundAt(server, clock.now()), 1e-9);
+    DOUBLES_EQUAL(2.25, shares.limitAt(server, clock.now()), 1e-9);
     CHECK_TRUE(shares.admits(server, 1, clock.now()));
     CHECK_TRUE(shares.admits(server, 2, clock.now()));
     CHECK_FALSE(shares.admits(server, 3, clock.now()));
@@ -246,7 +246,7 @@
 
 TEST(CapacityShares, WhoHasNoPartSendsOneStatementInALongTurn) {
     CapacityShares shares = inCrowd(0, {{Duration(0), milliseconds(600)}, {milliseconds(3000)}}, 2);
-    DOUBLES_EQUAL(0.0, shares.boundAt(server, clock.now()), 1e-9);
+    DOUBLES_EQUAL(0.0, shares.limitAt(server, clock.now()), 1e-9);
     CHECK_TRUE(shares.admits(server, 0, clock.now()));
     shares.noteSent(server, 0, clock.now());
     clock.advance(CapacityShares::kLongestTurn - milliseconds(1));
--- a/tests/pooling/RegionsTest.cpp
+++ b/tests/pooling/RegionsTest.cpp
@@ -109,17 +109,17 @@
     }
 }
 
-TEST_GROUP(WayToServer){};
+TEST_GROUP(ServerRoundTrip){};
 
-TEST(WayToServer, AWayWithinTheRegionChangesNothing) {
-    const WayToServer way;
+TEST(ServerRoundTrip, AWayWithinTheRegionChangesNothing) {
+    const ServerRoundTrip way;
     CHECK_TRUE(way.atServer(milliseconds(33)) == milliseconds(33));
     DOUBLES_EQUAL(1, way.inflightPerRunning(milliseconds(33)), 0);
     DOUBLES_EQUAL(1, way.inflightPerRunning(Duration(0)), 0);
 }
 
-TEST(WayToServer, WhatIsOnTheWayIsInFlightAndRunsNowhere) {
-    const WayToServer way{milliseconds(60)};
+TEST(ServerRoundTrip, WhatIsOnTheWayIsInFlightAndRunsNowhere) {
+    const ServerRoundTrip way{milliseconds(60)};
     CHECK_TRUE(way.atServer(milliseconds(90)) == milliseconds(30));
     CHECK_TRUE(way.atServer(milliseconds(50)) == Duration(0));
     DOUBLES_EQUAL(3, way.inflightPerRunning(milliseconds(30)), 0.001);
--- a/tests/pooling/ServerChoiceTest.cpp
+++ b/tests/pooling/ServerChoiceTest.cpp
@@ -22,8 +22,8 @@
 TEST_GROUP(ServerChoice) {
     std::vector<ServerCandidate> candidates{usual(), usual()};
 
-    std::optional<std::size_t> chosen(Duration patience = Duration(0)) {
-        return ServerChoice::choose(candidates, patience).index;
+    std::optional<std::size_t> chosen(Duration maximumWait = Duration(0)) {
+        return ServerChoice::choose(candidates, maximumWait).index;
     }
 };
 
--- a/tests/pooling/ServerDirectoryTest.cpp
+++ b/tests/pooling/ServerDirectoryTest.cpp
@@ -19,7 +19,7 @@
                                    const char* group = "g") {
         ServerAnnouncement announcement;
         announcement.address.group = GroupName(group);
-        announcement.address.server = nameOfLife("s1", startedAt);
+        announcement.address.server = incarnationName("s1", startedAt);
         announcement.version.revision = version;
         return announcement;
     }
@@ -28,7 +28,7 @@
     }
     bool isListed(std::int64_t startedAt, const GroupName& group = kGroup) const {
         const auto& servers = directory.serversOf(group);
-        const auto found = servers.find(nameOfLife("s1", startedAt));
+        const auto found = servers.find(incarnationName("s1", startedAt));
         return found != servers.end() && !found->second.removed;
     }
 };
@@ -38,7 +38,7 @@
     CHECK_TRUE(put(life(200, 6)));
     CHECK_FALSE(isListed(100));
     CHECK_TRUE(isListed(200));
-    STRCMP_EQUAL("s1", idOf(nameOfLife("s1", 200)).c_str());
+    STRCMP_EQUAL("s1", idOf(incarnationName("s1", 200)).c_str());
 }
 
 /** Clocks are not trusted: a later incarnation may report an earlier start time. */
@@ -184,7 +184,7 @@
         for (int index = 0; index < groups * kServersPerGroup; ++index) {
             ServerAnnouncement announcement;
             announcement.address.group = GroupName("g" + std::to_string(index / kServersPerGroup));
-            announcement.address.server = nameOfLife("i" + std::to_string(index), 100);
+            announcement.address.server = incarnationName("i" + std::to_string(index), 100);
             announcement.version.revision = static_cast<std::uint64_t>(index) + 1;
             announcements.push_back(announcement);
         }
@@ -237,7 +237,7 @@
     directory.takeChanged();
     ServerAnnouncement moved = announcements.front();
     moved.address.group = GroupName("g1");
-    moved.address.server = nameOfLife("i0", 200);
+    moved.address.server = incarnationName("i0", 200);
     moved.version.revision = 7;
     CHECK_TRUE(directory.put(moved, clock.now()));
     CHECK_TRUE(directory.takeChanged() == (std::set<GroupName>{GroupName("g0"), GroupName("g1")}));
