--- a/tests/pooling/CapacitySharesTest.cpp
+++ b/tests/pooling/CapacitySharesTest.cpp
@@ -69,7 +69,7 @@
     }
 };
 
-TEST(CapacityShares, WithoutACrowdThereIsNoBoundAndNothingIsTold) {
+TEST(CapacityShares, WithoutOverloadThereIsNoLimitAndNoReport) {
     CapacityShares shares;
     shares.update(othersOf(0, 8), loadOf({milliseconds(3000)}), clock.now());
     CHECK_FALSE(shares.inForce());
@@ -78,7 +78,7 @@
     CHECK_TRUE(shares.admits(server, 100, clock.now()));
 }
 
-TEST(CapacityShares, AQueueOfLessThanAnEqualPartIsNoCrowd) {
+TEST(CapacityShares, AQueueOfLessThanAnEqualPartIsNoOverload) {
     CapacityShares shares;
     shares.noteNoRoom(clock.now());
     shares.update(othersOf(0, 8), loadOf({kStatementTime}), clock.now());
@@ -87,7 +87,7 @@
     CHECK_TRUE(shares.isOverloaded(clock.now()));
 }
 
-TEST(CapacityShares, AReplicaIsBoundOnceItHasRefused) {
+TEST(CapacityShares, AReplicaIsLimitedOnceItHasRefused) {
     SharedServer replica = server;
     replica.name = ServerName("s2");
     replica.primary = false;
@@ -152,7 +152,7 @@
     DOUBLES_EQUAL(4.5, shares.limitAt(server, clock.now()), 1e-9);
 }
 
-TEST(CapacityShares, ACrowdThatNobodyTellsOfAnyMoreIsOver) {
+TEST(CapacityShares, AnOverloadThatIsNoLongerReportedEnds) {
     CapacityShares shares = inCrowd(0, {{milliseconds(900)}, {milliseconds(900)}}, 2);
     CHECK_TRUE(shares.inForce());
     clock.advance(CapacityShares::kOverloadEndsAfter);
@@ -160,7 +160,7 @@
     CHECK_FALSE(shares.inForce());
 }
 
-TEST(CapacityShares, AQueueKeepsACrowdAlive) {
+TEST(CapacityShares, AQueueProlongsAnOverload) {
     const std::vector<NodeName> others = othersOf(0, 2);
     CapacityShares shares = inCrowd(0, {{milliseconds(900)}, {milliseconds(900)}}, 2);
     for (int round = 0; round < 60; ++round) {
@@ -186,7 +186,7 @@
     CHECK_FALSE(shares.isOverloaded(clock.now()));
 }
 
-TEST(CapacityShares, AnAnswerToACrowdIsNoCrowd) {
+TEST(CapacityShares, AReportWithoutTheOverloadFlagStartsNoOverload) {
     CapacityShares shares;
     LoadReport quiet = report(1, {milliseconds(900)});
     quiet.crowded = false;
@@ -195,13 +195,13 @@
     CHECK_FALSE(shares.isOverloaded(clock.now()));
 }
 
-TEST(CapacityShares, ANodeThatIsNoExecutorIsNotBelieved) {
+TEST(CapacityShares, AReportOfANodeThatIsNoExecutorIsIgnored) {
     CapacityShares shares;
     CHECK_FALSE(shares.take(report(9, {milliseconds(900)}), othersOf(0, 8), clock.now()));
     UNSIGNED_LONGS_EQUAL(0, shares.reportCount(clock.now()));
 }
 
-TEST(CapacityShares, WhoNoLongerExecutesIsForgotten) {
+TEST(CapacityShares, ReportsOfFormerExecutorsAreDropped) {
     CapacityShares shares = inCrowd(0, {{milliseconds(900)}, {milliseconds(900)}, {}}, 3);
     const std::vector<NodeName> fewer = {node(2)};
     shares.update(fewer, loadOf({milliseconds(900)}), clock.now());
@@ -209,7 +209,7 @@
     DOUBLES_EQUAL(9.0, shares.limitAt(server, clock.now()), 1e-9);
 }
 
-TEST(CapacityShares, TheSameDemandIsToldLessOften) {
+TEST(CapacityShares, UnchangedDemandIsReportedLessOften) {
     CapacityShares shares = inCrowd(0, {{milliseconds(900)}, {milliseconds(900)}}, 2);
     CHECK_TRUE(shares.takeReportDue(clock.now()));
     clock.advance(CapacityShares::kReportEvery);
@@ -244,7 +244,7 @@
     CHECK_TRUE(shares.admits(server, 2, clock.now()));
 }
 
-TEST(CapacityShares, WhoHasNoPartSendsOneStatementInALongTurn) {
+TEST(CapacityShares, AnExecutorWithoutAShareSendsOneStatementPerLongestTurn) {
     CapacityShares shares = inCrowd(0, {{Duration(0), milliseconds(600)}, {milliseconds(3000)}}, 2);
     DOUBLES_EQUAL(0.0, shares.limitAt(server, clock.now()), 1e-9);
     CHECK_TRUE(shares.admits(server, 0, clock.now()));
--- a/tests/pooling/CatchUpEstimateTest.cpp
+++ b/tests/pooling/CatchUpEstimateTest.cpp
@@ -32,41 +32,41 @@
     }
 };
 
-TEST(CatchUpEstimate, AReplicaThatHasShownNothingIsAsked) {
+TEST(CatchUpEstimate, AReplicaThatReportedNoPositionIsAsked) {
     CHECK(until(5, milliseconds(0)) == Duration(0));
 }
 
-TEST(CatchUpEstimate, WhatItHasShownItHas) {
+TEST(CatchUpEstimate, AReportedPositionIsAvailableAtOnce) {
     estimate.observe(at(100), seconds(9), now);
     CHECK(until(100, milliseconds(0)) == Duration(0));
 }
 
-TEST(CatchUpEstimate, OneThatKeepsUpHasAPositionALagAfterTheLog) {
+TEST(CatchUpEstimate, AReplicaThatKeepsUpReachesAPositionOneLagAfterTheLog) {
     follow(4, milliseconds(150), Duration(0));
     CHECK(until(200, milliseconds(50)) == milliseconds(100));
     now += milliseconds(200);
     CHECK(until(200, milliseconds(250)) == Duration(0));
 }
 
-TEST(CatchUpEstimate, OneThatCatchesUpHasAPositionSoonerByItsRate) {
+TEST(CatchUpEstimate, AReplicaThatCatchesUpReachesAPositionSoonerByItsRate) {
     follow(4, seconds(4), -milliseconds(750));
     CHECK(estimate.rate() > 3.9);
     CHECK(until(900, milliseconds(0)) > milliseconds(400));
     CHECK(until(900, milliseconds(0)) < milliseconds(500));
 }
 
-TEST(CatchUpEstimate, OfOneThatStandsStillNothingIsForeseen) {
+TEST(CatchUpEstimate, AStalledReplicaHasNoEstimate) {
     follow(4, seconds(4), milliseconds(250));
     estimate.refuse(at(800), now, pauses);
     CHECK(until(900, milliseconds(0)) == std::nullopt);
 }
 
-TEST(CatchUpEstimate, OneThatStandsStillStillServesWhatIsOldEnough) {
+TEST(CatchUpEstimate, AStalledReplicaServesPositionsOlderThanItsLag) {
     follow(4, seconds(1), milliseconds(250));
     CHECK(until(900, seconds(2)) == Duration(0));
 }
 
-TEST(CatchUpEstimate, OneReadAtATimeAsksAReplicaThatStandsStill) {
+TEST(CatchUpEstimate, AStalledReplicaIsProbedByOneReadAtATime) {
     follow(4, seconds(4), milliseconds(250));
     CHECK(until(900, milliseconds(0)) == Duration(0));
     estimate.ask(at(900), now, now, pauses);
@@ -76,7 +76,7 @@
     CHECK(until(900, milliseconds(0)) == Duration(0));
 }
 
-TEST(CatchUpEstimate, ARefusalRefutesWhatWasExpected) {
+TEST(CatchUpEstimate, ARefusalOverridesTheEstimate) {
     estimate.observe(at(100), milliseconds(100), now);
     now += milliseconds(200);
     CHECK(until(200, milliseconds(200)) == Duration(0));
@@ -99,7 +99,7 @@
     CHECK(until(200, seconds(1)) == pauses.shortest);
 }
 
-TEST(CatchUpEstimate, OneThatHasCaughtUpIsAskedAgainAtOnce) {
+TEST(CatchUpEstimate, ACaughtUpReplicaIsAskedAgainAtOnce) {
     follow(4, seconds(4), milliseconds(250));
     for (int index = 0; index < 6; ++index) {
         estimate.refuse(at(900), now, pauses);
@@ -112,7 +112,7 @@
     CHECK(until(960, milliseconds(0)) == Duration(0));
 }
 
-TEST(CatchUpEstimate, WhatItHasJustShownToLackItIsNotAskedForAtOnce) {
+TEST(CatchUpEstimate, APositionThatWasJustMissingIsNotExpectedAtOnce) {
     estimate.observe(at(100), milliseconds(50), now);
     CHECK(until(101, milliseconds(50)) == milliseconds(10));
 }
@@ -124,21 +124,21 @@
     CHECK(estimate.lagAt(now) == Duration(0));
 }
 
-TEST(CatchUpEstimate, AnOldEstimateIsProvedAnew) {
+TEST(CatchUpEstimate, AnOldEstimateIsVerifiedByARead) {
     follow(4, milliseconds(290), Duration(0));
     CHECK(until(900, milliseconds(0)) == milliseconds(290));
     now += milliseconds(300);
     CHECK(until(900, milliseconds(0)) == Duration(0));
 }
 
-TEST(CatchUpEstimate, ANewLifeIsAskedLikeAnyOther) {
+TEST(CatchUpEstimate, ANewIncarnationIsAskedLikeAnyOther) {
     follow(4, seconds(4), milliseconds(250));
     estimate.refuse(at(900), now, pauses);
     estimate = CatchUpEstimate{};
     CHECK(until(900, milliseconds(0)) == Duration(0));
 }
 
-TEST_GROUP(LogTimes) {
+TEST_GROUP(FreshnessFloors) {
     FreshnessFloors floors;
     TimePoint start{seconds(100)};
 
@@ -150,13 +150,13 @@
     }
 };
 
-TEST(LogTimes, TellsSinceWhenTheLogHasAPosition) {
+TEST(FreshnessFloors, ReturnsWhenTheLogReachedAPosition) {
     CHECK(floors.reachedAt(OpTime{1, 35}) == start + milliseconds(400));
     CHECK(floors.reachedAt(OpTime{1, 40}) == start + milliseconds(400));
     CHECK(floors.reachedAt(OpTime{1, 101}) == std::nullopt);
 }
 
-TEST(LogTimes, TheLagIsTheTimeSinceTheLogWentBeyond) {
+TEST(FreshnessFloors, TheLagIsTheTimeSinceTheLogWentBeyond) {
     const TimePoint now = start + seconds(2);
     CHECK(floors.lagOf(OpTime{1, 40}, now) == milliseconds(1500));
     CHECK(floors.lagOf(OpTime{1, 100}, now) == Duration(0));
--- a/tests/pooling/ExecutorPlacementTest.cpp
+++ b/tests/pooling/ExecutorPlacementTest.cpp
@@ -68,7 +68,7 @@
     }
 }
 
-TEST(ExecutorPlacement, EveryNodeForwardsToThoseThatTakeThemselvesForExecutors) {
+TEST(ExecutorPlacement, EveryNodeForwardsToNodesThatConsiderThemselvesExecutors) {
     const std::set<int> chosen = executors(group, 60);
     for (int index = 0; index < 60; ++index) {
         const ExecutorPlacement placement = placementOf(index, nodes(60));
@@ -164,7 +164,7 @@
 }
 
 /** Nodes join and leave; some keep their names but change zones. */
-TEST(ExecutorPlacement, FollowingChangesChoosesAsAFreshStartDoes) {
+TEST(ExecutorPlacement, IncrementalChangesGiveTheSameExecutorsAsARestart) {
     const std::vector<ProxyNode> all = nodes(90);
     ExecutorPlacement following(node(0).name, node(0).zone, 2);
     for (int step = 0; step < 40; ++step) {
--- a/tests/pooling/OutlierDetectorTest.cpp
+++ b/tests/pooling/OutlierDetectorTest.cpp
@@ -71,7 +71,7 @@
     CHECK(review().empty());
 }
 
-TEST(OutlierDetector, WhatFailsEverywhereEjectsNone) {
+TEST(OutlierDetector, FailuresAtAllServersEjectNone) {
     for (int number = 1; number <= 3; ++number) {
         fail(number, 10);
     }
@@ -116,7 +116,7 @@
     CHECK(review().empty());
 }
 
-TEST(OutlierDetector, WhatIsLongAgoCountsNoMore) {
+TEST(OutlierDetector, OutcomesOutsideTheWindowDoNotCount) {
     fail(2, 10);
     now += milliseconds(1250);
     CHECK(review().empty());
@@ -133,7 +133,7 @@
     CHECK(review().empty());
 }
 
-TEST(OutlierDetector, ASlowAnswerOnProbationBeginsTheProofAnew) {
+TEST(OutlierDetector, ASlowResponseOnProbationRestartsTheCountOfSuccesses) {
     toProbation(2);
     succeed(2, 4);
     succeed(2, 1, 3);
@@ -153,7 +153,7 @@
     CHECK(changes[0].ejectedFor == seconds(1));
 }
 
-TEST(OutlierDetector, ServersThatFlapAreLeftAloneForLonger) {
+TEST(OutlierDetector, FlappingServersAreEjectedForLonger) {
     toProbation(2);
     Duration longest{0};
     for (int round = 0; round < 8; ++round) {
@@ -165,7 +165,7 @@
     CHECK(longest == seconds(2));
 }
 
-TEST(OutlierDetector, WhatFailedLongAgoIsForgiven) {
+TEST(OutlierDetector, EjectionsOfLongAgoAreForgotten) {
     toProbation(2);
     succeed(2, 5);
     review();
@@ -175,7 +175,7 @@
     CHECK(review().at(0).ejectedFor == milliseconds(500));
 }
 
-TEST(OutlierDetector, ALifeThatStartsAgainBeginsAnew) {
+TEST(OutlierDetector, ANewIncarnationStartsWithoutHistory) {
     succeed(2, 6);
     fail(2, 5);
     review();
--- a/tests/pooling/PrimaryWatchTest.cpp
+++ b/tests/pooling/PrimaryWatchTest.cpp
@@ -30,7 +30,7 @@
     CHECK_FALSE(after(milliseconds(900)).has_value());
 }
 
-TEST(PrimaryWatch, AWriteAtAFormerPrimaryTellsNothing) {
+TEST(PrimaryWatch, AWriteAtAFormerPrimaryIsIgnored) {
     watch.noteWrite(ConnectionId(1), ServerName("former"), start);
     CHECK_FALSE(after(milliseconds(2000)).has_value());
 }
@@ -43,7 +43,7 @@
 
 /** A component that is notified of silence requests the status, gets it, and does not act on the
  * primary. Reporting silence first would therefore hide that writes are unanswered. */
-TEST(PrimaryWatch, UnansweredWritesAreToldBeforeSilence) {
+TEST(PrimaryWatch, UnansweredWritesAreReportedBeforeSilence) {
     primary.silentSince = start;
     watch.noteWrite(ConnectionId(1), primary.address.server, start);
     CHECK_TRUE(SuspicionReason::WritesUnanswered == after(milliseconds(701)));
--- a/tests/pooling/ProofExchangeTest.cpp
+++ b/tests/pooling/ProofExchangeTest.cpp
@@ -101,7 +101,7 @@
     }
 };
 
-TEST(ProofExchange, OneNodeOfTheEstateReadsTheStore) {
+TEST(ProofExchange, OneNodeOfAllReadsTheStore) {
     const std::vector<ProxyNode> nodes = estate(7, 14);
     std::size_t readers = 0;
     std::size_t askingInOtherZones = 0;
@@ -118,7 +118,7 @@
     UNSIGNED_LONGS_EQUAL(6, askingInOtherZones);
 }
 
-TEST(ProofExchange, AReadingIsDatedWhenItWasAsked) {
+TEST(ProofExchange, AStoreReadIsDatedWhenItWasSent) {
     start(true);
     want();
     const TimePoint askedAt = clock.now();
@@ -129,7 +129,7 @@
     CHECK_TRUE(proofs[0].recordVersions == (RecordVersions{{kGroup, {0, 5}}}));
 }
 
-TEST(ProofExchange, AnAnswerIsDatedByItsAgeBeforeTheQuestion) {
+TEST(ProofExchange, AResponseIsDatedByItsAgeBeforeTheRequest) {
     start(false);
     want();
     UNSIGNED_LONGS_EQUAL(1, questions.size());
@@ -167,7 +167,7 @@
     UNSIGNED_LONGS_EQUAL(1, readings.size());
 }
 
-TEST(ProofExchange, AYoungProofIsHandedOnWithItsAge) {
+TEST(ProofExchange, ARecentProofIsPassedOnWithItsAge) {
     start(true);
     want();
     finishReading(RecordVersions{{kGroup, {0, 5}}});
@@ -206,7 +206,7 @@
     CHECK_TRUE(answers.at(0).proof == (HandedProof{milliseconds(0), {{kGroup, {0, 6}}}}));
 }
 
-TEST(ProofExchange, ManyAskersCostOneReading) {
+TEST(ProofExchange, ManyRequestersCostOneStoreRead) {
     start(true);
     for (std::uint64_t asker = 1; asker <= 40; ++asker) {
         exchange->onProofAsked({asker, {{0, 0}, milliseconds(300)}});
@@ -217,14 +217,14 @@
     UNSIGNED_LONGS_EQUAL(40, answers.size());
 }
 
-TEST(ProofExchange, AQuestionForOthersWantsAYoungerProof) {
+TEST(ProofExchange, ARequestForOthersRequiresAYoungerProof) {
     start(false);
     exchange->onProofAsked({71, {{0, 9}, milliseconds(300)}});
     exchange->onTick(clock.now());
     CHECK_TRUE(questions.at(0).need == (ProofNeed{{0, 9}, milliseconds(150)}));
 }
 
-TEST(ProofExchange, ThoseWhoWaitAreToldOfAFailureAtOnce) {
+TEST(ProofExchange, WaitingRequestersAreNotifiedOfAFailureAtOnce) {
     start(true);
     exchange->onProofAsked({71, {{0, 0}, milliseconds(300)}});
     exchange->onTick(clock.now());
@@ -234,7 +234,7 @@
     CHECK_TRUE(exchange->hasFailed());
 }
 
-TEST(ProofExchange, ASilentStoreIsAskedLessAndLess) {
+TEST(ProofExchange, ASilentStoreIsReadAtGrowingIntervals) {
     start(true);
     std::size_t asked = 0;
     for (int step = 0; step < 300; ++step) {
--- a/tests/pooling/ReaderTreeTest.cpp
+++ b/tests/pooling/ReaderTreeTest.cpp
@@ -25,7 +25,7 @@
 
 TEST_GROUP(ReaderTree){};
 
-TEST(ReaderTree, TurnsThatFollowChangesAreThoseOfAFreshStart) {
+TEST(ReaderTree, IncrementalChangesGiveTheSameTurnsAsARestart) {
     constexpr int kNodes = 90;
     constexpr int kGroups = 40;
     constexpr int kSteps = 20;
@@ -73,7 +73,7 @@
 }
 
 /** A reader's link carries the store's whole content once for each node that asks it. */
-TEST(ReaderTree, NodesThatCanPassOnMoreReadForTheOthers) {
+TEST(ReaderTree, NodesWithMoreForwardingCapacityReadForOthers) {
     for (const int count : {120, 480}) {
         const std::vector<ProxyNode> nodes = estate(count);
         for (const auto& [name, askers] : askersOf(nodes)) {
--- a/tests/pooling/ServerConnectionsTest.cpp
+++ b/tests/pooling/ServerConnectionsTest.cpp
@@ -78,7 +78,7 @@
     }
 };
 
-TEST(ServerConnections, OneThatIsReleasedServesAgain) {
+TEST(ServerConnections, AReleasedConnectionServesAgain) {
     openIdle(first);
     ServerConnection& connection = lend(first);
     connections.release(connection, SessionState::Idle);
@@ -87,7 +87,7 @@
     CHECK_FALSE(connections.hasIdleFor(server, second));
 }
 
-TEST(ServerConnections, OneWithAnOpenTransactionIsRolledBackBeforeItServes) {
+TEST(ServerConnections, AConnectionWithAnOpenTransactionIsRolledBackBeforeItServes) {
     openIdle(first);
     ServerConnection& connection = lend(first);
     connections.release(connection, SessionState::InTransaction);
@@ -96,7 +96,7 @@
     CHECK_TRUE(ServerCommand::Kind::Rollback == connector.sent.front().command.kind);
 }
 
-TEST(ServerConnections, NothingIsSentToAClosedServerToEndWhatIsOpen) {
+TEST(ServerConnections, NoRollbackIsSentToAClosedServer) {
     openIdle(first);
     ServerConnection& connection = lend(first);
     owner.closed = true;
@@ -106,7 +106,7 @@
     CHECK_TRUE(connections.all().empty());
 }
 
-TEST(ServerConnections, AtTheLimitAnIdleOneGivesWay) {
+TEST(ServerConnections, AtTheLimitAnIdleConnectionIsReplaced) {
     openIdle(first).used = true;
     CHECK_FALSE(connections.mayOpen(server, terms(0)) && server.idle.empty());
     CHECK_TRUE(connections.mayOpen(server, terms(1)));
@@ -115,14 +115,14 @@
     UNSIGNED_LONGS_EQUAL(1, statistics.connectionsReplaced);
 }
 
-TEST(ServerConnections, OneThatWasJustOpenedIsNotTakenAway) {
+TEST(ServerConnections, AConnectionThatWasJustOpenedIsNotReplaced) {
     openIdle(first);
     CHECK_FALSE(connections.mayOpen(server, terms(1)));
     clock.advance(milliseconds(101));
     CHECK_TRUE(connections.mayOpen(server, terms(1)));
 }
 
-TEST(ServerConnections, AServerThatRefusesIsLeftAloneForAWhile) {
+TEST(ServerConnections, AServerThatRefusesIsNotContactedForAWhile) {
     const auto id = connections.open(server, first, terms(2));
     connections.noteOpenFailed(*connections.find(*id), std::nullopt);
     CHECK_TRUE(server.unreachable);
@@ -132,7 +132,7 @@
     CHECK_TRUE(connections.mayOpen(server, terms(2)));
 }
 
-TEST(ServerConnections, AnAbandonedOneThatNeverAnswersIsLate) {
+TEST(ServerConnections, AnAbandonedConnectionThatNeverRespondsIsLate) {
     openIdle(first);
     ServerConnection& connection = lend(first);
     connection.awaited.push_back(AwaitedResult::Statement);
@@ -142,7 +142,7 @@
     UNSIGNED_LONGS_EQUAL(1, connections.late().size());
 }
 
-TEST(ServerConnections, IdleOnesAnswerBeforeTheyServeAgain) {
+TEST(ServerConnections, IdleConnectionsRespondBeforeTheyServeAgain) {
     openIdle(first);
     clock.advance(milliseconds(50));
     connections.verifyIdle(server, clock.now());
@@ -150,7 +150,7 @@
     UNSIGNED_LONGS_EQUAL(1, connector.sent.size());
 }
 
-TEST(ServerConnections, AForgottenOneLeavesNoCountBehind) {
+TEST(ServerConnections, ARemovedConnectionLeavesNoCountBehind) {
     openIdle(first);
     ServerConnection& connection = lend(first);
     connections.discard(connection.id);
--- a/tests/pooling/ServerDirectoryTest.cpp
+++ b/tests/pooling/ServerDirectoryTest.cpp
@@ -33,7 +33,7 @@
     }
 };
 
-TEST(ServerDirectory, AServerThatStartsAgainIsAnother) {
+TEST(ServerDirectory, ARestartedServerIsADifferentServer) {
     CHECK_TRUE(put(life(100, 5)));
     CHECK_TRUE(put(life(200, 6)));
     CHECK_FALSE(isListed(100));
@@ -42,7 +42,7 @@
 }
 
 /** Clocks are not trusted: a later incarnation may report an earlier start time. */
-TEST(ServerDirectory, TheOrderOfStartsDoesNotCount) {
+TEST(ServerDirectory, TheOrderOfStartTimesIsIgnored) {
     put(life(200, 5));
     CHECK_TRUE(put(life(100, 6)));
     CHECK_TRUE(isListed(100));
@@ -50,7 +50,7 @@
 }
 
 /** The store may carry out a write seconds after it was sent, under a higher version. */
-TEST(ServerDirectory, ALateEntryOfAFormerLifeReplacesNoLaterOne) {
+TEST(ServerDirectory, ALateEntryOfAFormerIncarnationReplacesNoLaterOne) {
     put(life(100, 5));
     put(life(200, 6));
     CHECK_FALSE(put(life(100, 7)));
@@ -62,14 +62,14 @@
     CHECK_TRUE(put(life(200, 9)));
 }
 
-TEST(ServerDirectory, AnOlderEntryOfAnotherLifeChangesNothing) {
+TEST(ServerDirectory, AnOlderEntryOfAnotherIncarnationChangesNothing) {
     put(life(200, 6));
     CHECK_FALSE(put(life(100, 5)));
     CHECK_TRUE(isListed(200));
     CHECK_FALSE(isListed(100));
 }
 
-TEST(ServerDirectory, ARemovedIdTakesAwayWhicheverLifeIsListed) {
+TEST(ServerDirectory, ARemovedIdRemovesWhicheverIncarnationIsListed) {
     put(life(100, 5));
     put(life(200, 6));
     CHECK_TRUE(directory.remove(ServerName("s1"), {0, 7}, clock.now()));
@@ -77,7 +77,7 @@
     CHECK_TRUE(directory.groupOf(ServerName("s1")) == kGroup);
 }
 
-TEST(ServerDirectory, AListWithoutTheServerTakesItAway) {
+TEST(ServerDirectory, AListWithoutTheServerRemovesIt) {
     put(life(100, 5));
     directory.replaceAll({}, {0, 6}, clock.now());
     CHECK_FALSE(isListed(100));
@@ -90,7 +90,7 @@
     CHECK_TRUE(isListed(100, GroupName("h")));
 }
 
-TEST(ServerDirectory, LivesAreForgottenAfterAWhile) {
+TEST(ServerDirectory, IncarnationsAreForgottenAfterAWhile) {
     put(life(100, 5));
     put(life(200, 6));
     clock.advance(seconds(16));
@@ -139,7 +139,7 @@
 };
 
 /** The store returns the entry that the server had written before it announced that it drains. */
-TEST(ServerDirectoryReturn, AServerThatDrainsDoesSoAfterTheStoreHasReturnedOlder) {
+TEST(ServerDirectoryReturn, ADrainingServerKeepsDrainingAfterTheStoreReverted) {
     directory.put(announcement({1, 50}, 9, true), clock.now());
     directory.replaceAll({announcement({2, 40}, 7, false)}, {2, 45}, clock.now());
     CHECK_TRUE(listed().announcement.draining);
@@ -148,7 +148,7 @@
     CHECK_FALSE(listed().announcement.draining);
 }
 
-TEST(ServerDirectoryReturn, AServerThatTheStoreHasLostHasTimeToWriteItsEntryAgain) {
+TEST(ServerDirectoryReturn, AServerThatTheStoreLostHasTimeToWriteItsEntryAgain) {
     directory.put(announcement({1, 50}, 9, false), clock.now());
     directory.replaceAll({}, {2, 40}, clock.now());
     CHECK_FALSE(listed().removed);
@@ -210,14 +210,14 @@
     }
 };
 
-TEST(ServerDirectoryAtSize, TheWorkOfAnAnnouncementDoesNotGrowWithTheEstate) {
+TEST(ServerDirectoryAtSize, TheCostOfAnAnnouncementDoesNotGrowWithTheNumberOfServers) {
     const std::uint64_t small = workOf(10);
     CHECK(small > 0);
     UNSIGNED_LONGS_EQUAL(small * 30, workOf(300));
 }
 
 /** Entries of a list that were already known mark no group as changed. */
-TEST(ServerDirectoryAtSize, AListTellsWhichGroupsItChanges) {
+TEST(ServerDirectoryAtSize, AListReportsWhichGroupsItChanges) {
     ServerDirectory directory;
     std::vector<ServerAnnouncement> announcements = estate(50);
     directory.replaceAll(announcements, {0, 150}, clock.now());
--- a/tests/pooling/SlotTimeEstimatesTest.cpp
+++ b/tests/pooling/SlotTimeEstimatesTest.cpp
@@ -23,7 +23,7 @@
     CHECK(estimates.expected(service, UnitKind::Transaction) == milliseconds(50));
 }
 
-TEST(SlotTimeEstimates, AKindNotYetSeenIsExpectedToTakeAsLongAsTheDearest) {
+TEST(SlotTimeEstimates, AnUnobservedKindIsExpectedToTakeAsLongAsTheLongest) {
     estimates.add(service, UnitKind::Read, milliseconds(5));
     estimates.add(service, UnitKind::Transaction, milliseconds(50));
     CHECK(estimates.expected(service, UnitKind::Write) == milliseconds(50));
