--- a/src/pooling/OutlierDetector.cpp
+++ b/src/pooling/OutlierDetector.cpp
@@ -19,8 +19,8 @@
 /** Ratio of its requests' times to those of the other servers that makes a server an outlier. */
 constexpr double kOutlierSlowness = 3;
 /** Duration of the first ejection; it doubles with each ejection in a row up to the upper bound. A
- * failed probation costs two reads their timeout, whereas a third of the servers unused costs a
- * burst of load. */
+ * failed probation costs two reads their timeout, whereas leaving a third of the servers unused
+ * costs a burst of statements their capacity. */
 constexpr Duration kShortestEjection = std::chrono::milliseconds(500);
 constexpr Duration kLongestEjection = std::chrono::seconds(2);
 /** Successes in a row, and failures, that end a probation: a single failure may be chance. */
--- a/src/pooling/OutlierDetector.h
+++ b/src/pooling/OutlierDetector.h
@@ -31,12 +31,12 @@
  * Covers servers that are slow, fail partially or hang although their health check passes: only
  * requests reveal them. The threshold is a third of requests lost, because a lost read is late by
  * its whole timeout, several times what a queue at the other servers costs it; below that share the
- * queue costs more. The same reasoning holds for times: a statement that takes three times as long
- * as at the others misses its objective if it meets it at the others with a usual margin.
+ * queue costs more. The same holds for times: a statement that meets its objective at the other
+ * servers with a usual margin misses it at a server that takes three times as long.
  *
- * Requests that fail at the other servers as well are the callers' fault, and eject no server. At
- * most half of the servers are ejected at once: the rest must be able to run the load. The ejection
- * times double, because a flapping server loses reads at each probation.
+ * Requests that fail at the other servers as well are attributed to the callers, and eject no
+ * server. At most half of the servers are ejected at once: the rest must be able to run the load.
+ * The ejection times double, because a flapping server loses reads at each probation.
  */
 class OutlierDetector {
 public:
