--- a/src/pooling/CapacityShares.h
+++ b/src/pooling/CapacityShares.h
@@ -137,7 +137,7 @@
 
     /**
      * @return when the next turn at the server comes, so that the caller can schedule a wake-up;
-     * nothing when no turn is due or a wake-up for it has been returned already.
+     * nothing when there is no turn to wait for or a wake-up for it has been returned already.
      */
     std::optional<TimePoint> takeTurnWake(const SharedServer& server, TimePoint now);
 
