--- a/src/pooling/CapacityShares.h
+++ b/src/pooling/CapacityShares.h
@@ -29,7 +29,7 @@
 struct SharedServer {
     ServerName name;
     std::uint32_t slots = 1;
-    /** Statements that all executors together keep in flight there. */
+    /** Statements that all executors together keep in flight at this server. */
     double taken = 1;
     /** Time from sending a statement to its result. */
     Duration latency{0};
@@ -72,7 +72,7 @@
      * is one second old is still accurate enough for an overload that lasts seconds, and this age
      * tolerates the loss of two reports. */
     static constexpr Duration kReportAge = std::chrono::seconds(1);
-    /** Least time between two reports. */
+    /** Minimum time between two reports. */
     static constexpr Duration kReportEvery = std::chrono::milliseconds(100);
     /** Time between two reports that are nearly equal: two may be lost before the report expires.
      */
--- a/src/pooling/LeadershipProof.h
+++ b/src/pooling/LeadershipProof.h
@@ -29,7 +29,7 @@
 /** All promotion records as returned by one list request to the store. */
 struct ListedRecords {
     RecordVersions versions;
-    /** Era of the store that showed them. */
+    /** Era of the store that returned them. */
     std::uint64_t era = 0;
 };
 
@@ -38,7 +38,7 @@
     /** A time of this node's clock that is not later than that moment. */
     TimePoint provenAt{};
     RecordVersions recordVersions;
-    /** Era of the store that showed them. */
+    /** Era of the store that returned them. */
     std::uint64_t era = 0;
 
     /** @return the version of the group's record; for a group without a record, a version which
@@ -54,7 +54,7 @@
     /** Time since the moment of the proof, by the clock of the node that sends it. */
     Duration age{0};
     RecordVersions recordVersions;
-    /** Era of the store that showed them. */
+    /** Era of the store that returned them. */
     std::uint64_t era = 0;
 
     bool operator==(const HandedProof&) const = default;
--- a/src/pooling/ServerChoice.h
+++ b/src/pooling/ServerChoice.h
@@ -47,7 +47,7 @@
 struct ServerChosen {
     /** Index of the server; nothing when the unit is queued. */
     std::optional<std::size_t> index;
-    /** Some server may run it, now or later. */
+    /** Some server may run the unit, now or later. */
     bool anyCandidate = false;
     /** The unit waits for a replica that will soon have its position; the choice is made again
      * after this time. */
@@ -68,7 +68,7 @@
  */
 class ServerChoice {
 public:
-    /** @param patience the longest time for which the unit may wait for a replica. */
+    /** @param maximumWait the longest time for which the unit may wait for a replica. */
     static ServerChosen choose(const std::vector<ServerCandidate>& candidates,
                                Duration maximumWait);
 
