--- a/tests/pooling/ServerDirectoryTest.cpp
+++ b/tests/pooling/ServerDirectoryTest.cpp
@@ -15,8 +15,8 @@
     testing::ManualClock clock;
     ServerDirectory directory;
 
-    static ServerAnnouncement life(std::int64_t startedAt, std::uint64_t version,
-                                   const char* group = "g") {
+    static ServerAnnouncement incarnation(std::int64_t startedAt, std::uint64_t version,
+                                          const char* group = "g") {
         ServerAnnouncement announcement;
         announcement.address.group = GroupName(group);
         announcement.address.server = incarnationName("s1", startedAt);
@@ -34,8 +34,8 @@
 };
 
 TEST(ServerDirectory, ARestartedServerIsADifferentServer) {
-    CHECK_TRUE(put(life(100, 5)));
-    CHECK_TRUE(put(life(200, 6)));
+    CHECK_TRUE(put(incarnation(100, 5)));
+    CHECK_TRUE(put(incarnation(200, 6)));
     CHECK_FALSE(isListed(100));
     CHECK_TRUE(isListed(200));
     STRCMP_EQUAL("s1", idOf(incarnationName("s1", 200)).c_str());
@@ -43,56 +43,56 @@
 
 /** Clocks are not trusted: a later incarnation may report an earlier start time. */
 TEST(ServerDirectory, TheOrderOfStartTimesIsIgnored) {
-    put(life(200, 5));
-    CHECK_TRUE(put(life(100, 6)));
+    put(incarnation(200, 5));
+    CHECK_TRUE(put(incarnation(100, 6)));
     CHECK_TRUE(isListed(100));
     CHECK_FALSE(isListed(200));
 }
 
 /** The store may carry out a write seconds after it was sent, under a higher version. */
 TEST(ServerDirectory, ALateEntryOfAFormerIncarnationReplacesNoLaterOne) {
-    put(life(100, 5));
-    put(life(200, 6));
-    CHECK_FALSE(put(life(100, 7)));
+    put(incarnation(100, 5));
+    put(incarnation(200, 6));
+    CHECK_FALSE(put(incarnation(100, 7)));
     CHECK_TRUE(isListed(200));
-    directory.replaceAll({life(100, 7)}, {0, 8}, clock.now());
+    directory.replaceAll({incarnation(100, 7)}, {0, 8}, clock.now());
     CHECK_TRUE(isListed(200));
     CHECK_FALSE(isListed(100));
-    CHECK_FALSE(put(life(100, 4)));
-    CHECK_TRUE(put(life(200, 9)));
+    CHECK_FALSE(put(incarnation(100, 4)));
+    CHECK_TRUE(put(incarnation(200, 9)));
 }
 
 TEST(ServerDirectory, AnOlderEntryOfAnotherIncarnationChangesNothing) {
-    put(life(200, 6));
-    CHECK_FALSE(put(life(100, 5)));
+    put(incarnation(200, 6));
+    CHECK_FALSE(put(incarnation(100, 5)));
     CHECK_TRUE(isListed(200));
     CHECK_FALSE(isListed(100));
 }
 
 TEST(ServerDirectory, ARemovedIdRemovesWhicheverIncarnationIsListed) {
-    put(life(100, 5));
-    put(life(200, 6));
+    put(incarnation(100, 5));
+    put(incarnation(200, 6));
     CHECK_TRUE(directory.remove(ServerName("s1"), {0, 7}, clock.now()));
     CHECK_FALSE(isListed(200));
     CHECK_TRUE(directory.groupOf(ServerName("s1")) == kGroup);
 }
 
 TEST(ServerDirectory, AListWithoutTheServerRemovesIt) {
-    put(life(100, 5));
+    put(incarnation(100, 5));
     directory.replaceAll({}, {0, 6}, clock.now());
     CHECK_FALSE(isListed(100));
 }
 
 TEST(ServerDirectory, AServerThatChangesItsGroupLeavesTheFormerOne) {
-    put(life(100, 5));
-    CHECK_TRUE(put(life(100, 6, "h")));
+    put(incarnation(100, 5));
+    CHECK_TRUE(put(incarnation(100, 6, "h")));
     CHECK_FALSE(isListed(100));
     CHECK_TRUE(isListed(100, GroupName("h")));
 }
 
 TEST(ServerDirectory, IncarnationsAreForgottenAfterAWhile) {
-    put(life(100, 5));
-    put(life(200, 6));
+    put(incarnation(100, 5));
+    put(incarnation(200, 6));
     clock.advance(seconds(16));
     directory.expire(clock.now(), seconds(15));
     UNSIGNED_LONGS_EQUAL(1, directory.serversOf(kGroup).size());
@@ -101,19 +101,19 @@
 /** An entry without a start time, under the id of a server that reports one, is by another writer.
  */
 TEST(ServerDirectory, AnEntryOfAnotherWriterNamesNoServerAndEndsNoLife) {
-    put(life(100, 5));
-    ServerAnnouncement foreign = life(100, 6);
+    put(incarnation(100, 5));
+    ServerAnnouncement foreign = incarnation(100, 6);
     foreign.address.server = ServerName("s1");
     CHECK_TRUE(put(foreign));
     CHECK_FALSE(isListed(100));
     UNSIGNED_LONGS_EQUAL(1, directory.serversOf(kGroup).size());
-    CHECK_TRUE(put(life(100, 7)));
+    CHECK_TRUE(put(incarnation(100, 7)));
     CHECK_TRUE(isListed(100));
 }
 
 TEST(ServerDirectory, AnOlderEntryOfAnotherWriterChangesNothing) {
-    put(life(100, 5));
-    ServerAnnouncement foreign = life(100, 4);
+    put(incarnation(100, 5));
+    ServerAnnouncement foreign = incarnation(100, 4);
     foreign.address.server = ServerName("s1");
     CHECK_FALSE(put(foreign));
     CHECK_TRUE(isListed(100));
