--- a/src/failover/GroupFailover.cpp
+++ b/src/failover/GroupFailover.cpp
@@ -100,7 +100,7 @@
     if (record.version <= _record.version) {
         return;
     }
-    const bool announces = pooling::announcesAnew(_record.notice(), record.notice());
+    const bool announces = pooling::announcesNewSuccessor(_record.notice(), record.notice());
     // A closed record that is written again after the store was restored from an older copy is no
     // change of the primary.
     const bool isSame = record.phase == pooling::PromotionPhase::None &&
--- a/src/pooling/PoolerDispatch.cpp
+++ b/src/pooling/PoolerDispatch.cpp
@@ -192,7 +192,7 @@
 }
 
 /** @return the path to a server of another region; an empty path to a server of the own region. */
-WayToServer StatementPooler::wayTo(const ServerState& server) const {
+ServerRoundTrip StatementPooler::wayTo(const ServerState& server) const {
     return {_distances == nullptr ? Duration(0) : _distances->to(server.zone, _clock.now()).time};
 }
 
--- a/src/pooling/PrimaryWatch.cpp
+++ b/src/pooling/PrimaryWatch.cpp
@@ -5,12 +5,13 @@
 namespace coralhoist::pooling {
 namespace {
 
-/** A write unanswered for so long shows that the primary can't commit. */
-constexpr Duration kWritePatience = std::chrono::milliseconds(700);
-/** So many connections that break in place of an answer, without any answer for so long, show that
- * the primary serves nobody. Connections that are all reset at one moment break within less. */
+/** A write that is unanswered for this time indicates that the primary can't commit. */
+constexpr Duration kWriteTimeout = std::chrono::milliseconds(700);
+/** This many connections that break instead of responding, with no response for this time, indicate
+ * that the primary serves nobody. Connections that are all reset at one moment break within a
+ * shorter time. */
 constexpr std::uint32_t kLostInRow = 5;
-constexpr Duration kLossPatience = std::chrono::milliseconds(500);
+constexpr Duration kLossTimeout = std::chrono::milliseconds(500);
 
 }  // namespace
 
@@ -39,20 +40,20 @@
     if (primary.silentSince && now - *primary.silentSince > suspectAfter) {
         return SuspicionReason::Silent;
     }
-    if (primary.consecutiveLosses >= kLostInRow && now - primary.firstLossAt > kLossPatience) {
+    if (primary.consecutiveLosses >= kLostInRow && now - primary.firstLossAt > kLossTimeout) {
         return SuspicionReason::StatementsLost;
     }
     return std::nullopt;
 }
 
 /**
- * Told before silence: where writes hold all connections the server seems silent, yet it answers
- * who asks for its status, and would be left alone.
+ * Checked before silence: where writes hold all connections the server seems silent, yet it
+ * responds to a status request, so a suspicion of silence would be dismissed.
  */
 bool PrimaryWatch::leavesWritesUnanswered(const ServerState& primary, TimePoint now) const {
     return std::any_of(_writes.begin(), _writes.end(), [&](const auto& entry) {
         const Write& write = entry.second;
-        return write.server == primary.address.server && now - write.at > kWritePatience;
+        return write.server == primary.address.server && now - write.at > kWriteTimeout;
     });
 }
 
--- a/src/pooling/SlotTimeEstimates.cpp
+++ b/src/pooling/SlotTimeEstimates.cpp
@@ -5,7 +5,7 @@
 namespace coralhoist::pooling {
 namespace {
 
-/** Weight of a new time: one in so many. */
+/** A new time has the weight of one in this many. */
 constexpr int kSmoothing = 16;
 
 }  // namespace
@@ -25,11 +25,11 @@
     if (exact != times.end()) {
         return exact->second;
     }
-    Duration dearest(0);
+    Duration longest(0);
     for (const auto& [other, time] : times) {
-        dearest = std::max(dearest, time);
+        longest = std::max(longest, time);
     }
-    return dearest;
+    return longest;
 }
 
 }  // namespace coralhoist::pooling
--- a/src/pooling/StatementPooler.h
+++ b/src/pooling/StatementPooler.h
@@ -36,13 +36,13 @@
 #include "pooling/ServerConnections.h"
 #include "pooling/ServerDirectory.h"
 #include "pooling/ServerLink.h"
+#include "pooling/ServerRoundTrip.h"
 #include "pooling/ServerState.h"
 #include "pooling/ServiceCatalog.h"
 #include "pooling/SlotTimeEstimates.h"
 #include "pooling/Statement.h"
 #include "pooling/TenantActivity.h"
 #include "pooling/UnitForwarding.h"
-#include "pooling/WayToServer.h"
 #include "pooling/ZoneLoad.h"
 
 namespace coralhoist::pooling {
@@ -390,7 +390,7 @@
     void waitForReplica(PooledSession& session, Duration wait);
     std::uint32_t executorsPerZone() const;
     std::uint32_t connectionBound() const;
-    WayToServer wayTo(const ServerState& server) const;
+    ServerRoundTrip wayTo(const ServerState& server) const;
     double inflightCapacityOf(const ServerState& server) const;
     Duration distancePenalty(const ServerState& server) const;
     bool isPrimary(const GroupState& group, const ServerState& server) const;
--- a/tests/pooling/CapacitySharesTest.cpp
+++ b/tests/pooling/CapacitySharesTest.cpp
@@ -46,7 +46,8 @@
         return {node(sender), group, demand, true};
     }
 
-    /** @return the shares of an executor that has heard of those for which there is a demand. */
+    /** @return the shares of an executor that has received reports of the executors with a given
+     * demand. */
     CapacityShares inCrowd(std::size_t self, const std::vector<Demand>& demands,
                            std::size_t executors) const {
         CapacityShares shares;
@@ -64,38 +65,38 @@
     }
 
     double bound(std::size_t self, const std::vector<Demand>& demands) const {
-        return inCrowd(self, demands, demands.size()).boundAt(server, clock.now());
+        return inCrowd(self, demands, demands.size()).limitAt(server, clock.now());
     }
 };
 
-TEST(CapacityShares, WithoutACrowdThereIsNoBoundAndNothingIsTold) {
+TEST(CapacityShares, WithoutOverloadThereIsNoLimitAndNoReport) {
     CapacityShares shares;
     shares.update(othersOf(0, 8), loadOf({milliseconds(3000)}), clock.now());
     CHECK_FALSE(shares.inForce());
-    CHECK_FALSE(shares.takeTelling(clock.now()));
-    CHECK_TRUE(std::isinf(shares.boundAt(server, clock.now())));
+    CHECK_FALSE(shares.takeReportDue(clock.now()));
+    CHECK_TRUE(std::isinf(shares.limitAt(server, clock.now())));
     CHECK_TRUE(shares.admits(server, 100, clock.now()));
 }
 
-TEST(CapacityShares, AQueueOfLessThanAnEqualPartIsNoCrowd) {
+TEST(CapacityShares, AQueueOfLessThanAnEqualPartIsNoOverload) {
     CapacityShares shares;
     shares.noteNoRoom(clock.now());
     shares.update(othersOf(0, 8), loadOf({kStatementTime}), clock.now());
-    CHECK_FALSE(shares.isCrowded(clock.now()));
+    CHECK_FALSE(shares.isOverloaded(clock.now()));
     shares.update(othersOf(0, 8), loadOf({kStatementTime * 2}), clock.now());
-    CHECK_TRUE(shares.isCrowded(clock.now()));
+    CHECK_TRUE(shares.isOverloaded(clock.now()));
 }
 
-TEST(CapacityShares, AReplicaIsBoundOnceItHasRefused) {
+TEST(CapacityShares, AReplicaIsLimitedOnceItHasRefused) {
     SharedServer replica = server;
     replica.name = ServerName("s2");
     replica.primary = false;
     CapacityShares shares = inCrowd(0, {{milliseconds(900)}, {milliseconds(900)}}, 2);
-    CHECK_TRUE(shares.binds(server));
-    CHECK_FALSE(shares.binds(replica));
+    CHECK_TRUE(shares.limits(server));
+    CHECK_FALSE(shares.limits(replica));
     CHECK_TRUE(shares.admits(replica, 100, clock.now()));
     shares.noteRefused(replica.name, clock.now());
-    CHECK_TRUE(shares.binds(replica));
+    CHECK_TRUE(shares.limits(replica));
     CHECK_FALSE(shares.admits(replica, 100, clock.now()));
 }
 
@@ -106,7 +107,7 @@
     clock.advance(CapacityShares::kSettling);
     shares.update({}, loadOf({milliseconds(3000)}), clock.now());
     CHECK_FALSE(shares.inForce());
-    CHECK_FALSE(shares.takeTelling(clock.now()));
+    CHECK_FALSE(shares.takeReportDue(clock.now()));
 }
 
 TEST(CapacityShares, PartsFollowDemandAndTheirSumIsTheWhole) {
@@ -124,7 +125,7 @@
 }
 
 TEST(CapacityShares, ARankTakesOnlyWhatLowerOnesLeave) {
-    // The first rank fills half of the server's slots for a statement's time.
+    // The lowest rank fills half of the server's slots for the time of one statement.
     const std::vector<Demand> half = {{milliseconds(150)}, {Duration(0), milliseconds(1500)}};
     DOUBLES_EQUAL(4.5, bound(0, half), 1e-9);
     DOUBLES_EQUAL(4.5, bound(1, half), 1e-9);
@@ -136,30 +137,30 @@
 TEST(CapacityShares, SilentExecutorsKeepAnEqualPart) {
     CapacityShares shares = inCrowd(0, {{milliseconds(900)}, {milliseconds(300)}}, 8);
     CHECK_TRUE(shares.inForce());
-    DOUBLES_EQUAL(9.0 * 2 / 8 * 3 / 4, shares.boundAt(server, clock.now()), 1e-9);
+    DOUBLES_EQUAL(9.0 * 2 / 8 * 3 / 4, shares.limitAt(server, clock.now()), 1e-9);
 }
 
 TEST(CapacityShares, AReportDoesNotCountForLongerThanItsAge) {
     CapacityShares shares = inCrowd(0, {{milliseconds(900)}, {milliseconds(900)}}, 2);
     clock.advance(CapacityShares::kReportAge - milliseconds(1));
-    UNSIGNED_LONGS_EQUAL(1, shares.heardCount(clock.now()));
+    UNSIGNED_LONGS_EQUAL(1, shares.reportCount(clock.now()));
     clock.advance(milliseconds(1));
-    UNSIGNED_LONGS_EQUAL(0, shares.heardCount(clock.now()));
+    UNSIGNED_LONGS_EQUAL(0, shares.reportCount(clock.now()));
     shares.noteRefused(server.name, clock.now());
     shares.update(othersOf(0, 2), loadOf({milliseconds(3000)}), clock.now());
     CHECK_TRUE(shares.inForce());
-    DOUBLES_EQUAL(4.5, shares.boundAt(server, clock.now()), 1e-9);
+    DOUBLES_EQUAL(4.5, shares.limitAt(server, clock.now()), 1e-9);
 }
 
-TEST(CapacityShares, ACrowdThatNobodyTellsOfAnyMoreIsOver) {
+TEST(CapacityShares, AnOverloadThatIsNoLongerReportedEnds) {
     CapacityShares shares = inCrowd(0, {{milliseconds(900)}, {milliseconds(900)}}, 2);
     CHECK_TRUE(shares.inForce());
-    clock.advance(CapacityShares::kCrowdEndsAfter);
+    clock.advance(CapacityShares::kOverloadEndsAfter);
     shares.update(othersOf(0, 2), loadOf({milliseconds(900)}), clock.now());
     CHECK_FALSE(shares.inForce());
 }
 
-TEST(CapacityShares, AQueueKeepsACrowdAlive) {
+TEST(CapacityShares, AQueueProlongsAnOverload) {
     const std::vector<NodeName> others = othersOf(0, 2);
     CapacityShares shares = inCrowd(0, {{milliseconds(900)}, {milliseconds(900)}}, 2);
     for (int round = 0; round < 60; ++round) {
@@ -180,61 +181,62 @@
     CHECK_TRUE(shares.take(quiet, others, clock.now()));
     shares.update(others, loadOf({milliseconds(60)}), clock.now());
     CHECK_FALSE(shares.inForce());
-    clock.advance(CapacityShares::kCrowdEndsAfter);
+    clock.advance(CapacityShares::kOverloadEndsAfter);
     shares.update(others, loadOf({milliseconds(60)}), clock.now());
-    CHECK_FALSE(shares.isCrowded(clock.now()));
+    CHECK_FALSE(shares.isOverloaded(clock.now()));
 }
 
-TEST(CapacityShares, AnAnswerToACrowdIsNoCrowd) {
+TEST(CapacityShares, AReportWithoutTheOverloadFlagStartsNoOverload) {
     CapacityShares shares;
     LoadReport quiet = report(1, {milliseconds(900)});
     quiet.crowded = false;
     CHECK_TRUE(shares.take(quiet, othersOf(0, 2), clock.now()));
     shares.update(othersOf(0, 2), loadOf({milliseconds(900)}), clock.now());
-    CHECK_FALSE(shares.isCrowded(clock.now()));
+    CHECK_FALSE(shares.isOverloaded(clock.now()));
 }
 
-TEST(CapacityShares, ANodeThatIsNoExecutorIsNotBelieved) {
+TEST(CapacityShares, AReportOfANodeThatIsNoExecutorIsIgnored) {
     CapacityShares shares;
     CHECK_FALSE(shares.take(report(9, {milliseconds(900)}), othersOf(0, 8), clock.now()));
-    UNSIGNED_LONGS_EQUAL(0, shares.heardCount(clock.now()));
+    UNSIGNED_LONGS_EQUAL(0, shares.reportCount(clock.now()));
 }
 
-TEST(CapacityShares, WhoNoLongerExecutesIsForgotten) {
+TEST(CapacityShares, ReportsOfFormerExecutorsAreDropped) {
     CapacityShares shares = inCrowd(0, {{milliseconds(900)}, {milliseconds(900)}, {}}, 3);
     const std::vector<NodeName> fewer = {node(2)};
     shares.update(fewer, loadOf({milliseconds(900)}), clock.now());
-    UNSIGNED_LONGS_EQUAL(1, shares.heardCount(clock.now()));
-    DOUBLES_EQUAL(9.0, shares.boundAt(server, clock.now()), 1e-9);
+    UNSIGNED_LONGS_EQUAL(1, shares.reportCount(clock.now()));
+    DOUBLES_EQUAL(9.0, shares.limitAt(server, clock.now()), 1e-9);
 }
 
-TEST(CapacityShares, TheSameDemandIsToldLessOften) {
+TEST(CapacityShares, UnchangedDemandIsReportedLessOften) {
     CapacityShares shares = inCrowd(0, {{milliseconds(900)}, {milliseconds(900)}}, 2);
-    CHECK_TRUE(shares.takeTelling(clock.now()));
+    CHECK_TRUE(shares.takeReportDue(clock.now()));
     clock.advance(CapacityShares::kReportEvery);
-    CHECK_FALSE(shares.takeTelling(clock.now()));
+    CHECK_FALSE(shares.takeReportDue(clock.now()));
     shares.update(othersOf(0, 2), loadOf({milliseconds(300)}), clock.now());
-    CHECK_TRUE(shares.takeTelling(clock.now()));
+    CHECK_TRUE(shares.takeReportDue(clock.now()));
     clock.advance(CapacityShares::kReportEvery - milliseconds(1));
     shares.update(othersOf(0, 2), loadOf({milliseconds(900)}), clock.now());
-    CHECK_FALSE(shares.takeTelling(clock.now()));
+    CHECK_FALSE(shares.takeReportDue(clock.now()));
     clock.advance(milliseconds(1));
-    CHECK_TRUE(shares.takeTelling(clock.now()));
+    CHECK_TRUE(shares.takeReportDue(clock.now()));
     clock.advance(CapacityShares::kRepeatEvery);
-    CHECK_TRUE(shares.takeTelling(clock.now()));
+    CHECK_TRUE(shares.takeReportDue(clock.now()));
 }
 
 TEST(CapacityShares, AFractionIsServedInTurns) {
-    // A quarter of 9 statements each: two at any time, and a third for a quarter of it.
+    // Each executor has a quarter of 9 statements: two at any time, and a third one for a quarter
+    // of the time.
     CapacityShares shares = inCrowd(0, std::vector<Demand>(4, Demand{milliseconds(900)}), 4);
-    DOUBLES_EQUAL(2.25, shares.boundAt(server, clock.now()), 1e-9);
+    DOUBLES_EQUAL(2.25, shares.limitAt(server, clock.now()), 1e-9);
     CHECK_TRUE(shares.admits(server, 1, clock.now()));
     CHECK_TRUE(shares.admits(server, 2, clock.now()));
     CHECK_FALSE(shares.admits(server, 3, clock.now()));
     shares.noteSent(server, 2, clock.now());
     CHECK_TRUE(shares.admits(server, 1, clock.now()));
     CHECK_FALSE(shares.admits(server, 2, clock.now()));
-    // Somebody is woken for the next turn, once.
+    // One wake-up is returned for the next turn, and only once.
     const std::optional<TimePoint> wake = shares.takeTurnWake(server, clock.now());
     CHECK_TRUE(wake.has_value() && *wake > clock.now());
     CHECK_FALSE(shares.takeTurnWake(server, clock.now()).has_value());
@@ -242,9 +244,9 @@
     CHECK_TRUE(shares.admits(server, 2, clock.now()));
 }
 
-TEST(CapacityShares, WhoHasNoPartSendsOneStatementInALongTurn) {
+TEST(CapacityShares, AnExecutorWithoutAShareSendsOneStatementPerLongestTurn) {
     CapacityShares shares = inCrowd(0, {{Duration(0), milliseconds(600)}, {milliseconds(3000)}}, 2);
-    DOUBLES_EQUAL(0.0, shares.boundAt(server, clock.now()), 1e-9);
+    DOUBLES_EQUAL(0.0, shares.limitAt(server, clock.now()), 1e-9);
     CHECK_TRUE(shares.admits(server, 0, clock.now()));
     shares.noteSent(server, 0, clock.now());
     clock.advance(CapacityShares::kLongestTurn - milliseconds(1));
--- a/tests/pooling/ProofExchangeTest.cpp
+++ b/tests/pooling/ProofExchangeTest.cpp
@@ -49,7 +49,7 @@
     std::vector<GivenAnswer> answers;
     std::vector<LeadershipProof> proofs;
     bool reachable = true;
-    /** Nodes "b" and "c" are in the zone; one of the three is its reader. */
+    /** Nodes "b" and "c" are in the zone; one of the three nodes is its reader. */
     std::vector<ProxyNode> zone{node("a", "z"), node("b", "z"), node("c", "z")};
     std::unique_ptr<ReaderTree> tree;
     std::unique_ptr<ProofExchange> exchange;
@@ -101,7 +101,7 @@
     }
 };
 
-TEST(ProofExchange, OneNodeOfTheEstateReadsTheStore) {
+TEST(ProofExchange, OneNodeOfAllReadsTheStore) {
     const std::vector<ProxyNode> nodes = estate(7, 14);
     std::size_t readers = 0;
     std::size_t askingInOtherZones = 0;
@@ -114,11 +114,11 @@
         askingInOtherZones += elsewhere ? 1 : 0;
     }
     UNSIGNED_LONGS_EQUAL(1, readers);
-    // The readers of the six other zones ask it.
+    // The readers of the six other zones ask the node that reads the store.
     UNSIGNED_LONGS_EQUAL(6, askingInOtherZones);
 }
 
-TEST(ProofExchange, AReadingIsDatedWhenItWasAsked) {
+TEST(ProofExchange, AStoreReadIsDatedWhenItWasSent) {
     start(true);
     want();
     const TimePoint askedAt = clock.now();
@@ -129,7 +129,7 @@
     CHECK_TRUE(proofs[0].recordVersions == (RecordVersions{{kGroup, {0, 5}}}));
 }
 
-TEST(ProofExchange, AnAnswerIsDatedByItsAgeBeforeTheQuestion) {
+TEST(ProofExchange, AResponseIsDatedByItsAgeBeforeTheRequest) {
     start(false);
     want();
     UNSIGNED_LONGS_EQUAL(1, questions.size());
@@ -149,7 +149,7 @@
     UNSIGNED_LONGS_EQUAL(0, readings.size());
     advance(milliseconds(1));
     UNSIGNED_LONGS_EQUAL(1, readings.size());
-    // Its late answer is no longer waited for.
+    // The late response of the passed-over node is ignored.
     exchange->onProofAnswer(questions[0].number, HandedProof{milliseconds(0), {{kGroup, {0, 5}}}});
     UNSIGNED_LONGS_EQUAL(0, proofs.size());
     finishReading(RecordVersions{});
@@ -167,7 +167,7 @@
     UNSIGNED_LONGS_EQUAL(1, readings.size());
 }
 
-TEST(ProofExchange, AYoungProofIsHandedOnWithItsAge) {
+TEST(ProofExchange, ARecentProofIsPassedOnWithItsAge) {
     start(true);
     want();
     finishReading(RecordVersions{{kGroup, {0, 5}}});
@@ -206,7 +206,7 @@
     CHECK_TRUE(answers.at(0).proof == (HandedProof{milliseconds(0), {{kGroup, {0, 6}}}}));
 }
 
-TEST(ProofExchange, ManyAskersCostOneReading) {
+TEST(ProofExchange, ManyRequestersCostOneStoreRead) {
     start(true);
     for (std::uint64_t asker = 1; asker <= 40; ++asker) {
         exchange->onProofAsked({asker, {{0, 0}, milliseconds(300)}});
@@ -217,14 +217,14 @@
     UNSIGNED_LONGS_EQUAL(40, answers.size());
 }
 
-TEST(ProofExchange, AQuestionForOthersWantsAYoungerProof) {
+TEST(ProofExchange, ARequestForOthersRequiresAYoungerProof) {
     start(false);
     exchange->onProofAsked({71, {{0, 9}, milliseconds(300)}});
     exchange->onTick(clock.now());
     CHECK_TRUE(questions.at(0).need == (ProofNeed{{0, 9}, milliseconds(150)}));
 }
 
-TEST(ProofExchange, ThoseWhoWaitAreToldOfAFailureAtOnce) {
+TEST(ProofExchange, WaitingRequestersAreNotifiedOfAFailureAtOnce) {
     start(true);
     exchange->onProofAsked({71, {{0, 0}, milliseconds(300)}});
     exchange->onTick(clock.now());
@@ -234,7 +234,7 @@
     CHECK_TRUE(exchange->hasFailed());
 }
 
-TEST(ProofExchange, ASilentStoreIsAskedLessAndLess) {
+TEST(ProofExchange, ASilentStoreIsReadAtGrowingIntervals) {
     start(true);
     std::size_t asked = 0;
     for (int step = 0; step < 300; ++step) {
@@ -245,7 +245,7 @@
         }
         clock.advance(milliseconds(10));
     }
-    // Three seconds: pauses of 30 to 60 ms that grow to 250 to 500 ms.
+    // The test spans three seconds: pauses of 30 to 60 ms grow to pauses of 250 to 500 ms.
     CHECK_TRUE(asked >= 6);
     CHECK_TRUE(asked <= 16);
 }
@@ -256,7 +256,7 @@
     finishReading(RecordVersions{});
     want();
     UNSIGNED_LONGS_EQUAL(0, readings.size());
-    // A record that was not known changes that.
+    // A newly learned record ends the pause.
     exchange->noteRecord({0, 7});
     exchange->onTick(clock.now());
     UNSIGNED_LONGS_EQUAL(1, readings.size());
--- a/tests/pooling/RegionsTest.cpp
+++ b/tests/pooling/RegionsTest.cpp
@@ -10,7 +10,7 @@
 
 #include "PoolerFixture.h"
 #include "pooling/ReaderTree.h"
-#include "pooling/WayToServer.h"
+#include "pooling/ServerRoundTrip.h"
 
 namespace coralhoist::pooling {
 namespace {
@@ -112,17 +112,17 @@
     }
 }
 
-TEST_GROUP(WayToServer){};
+TEST_GROUP(ServerRoundTrip){};
 
-TEST(WayToServer, AWayWithinTheRegionChangesNothing) {
-    const WayToServer way;
+TEST(ServerRoundTrip, AWayWithinTheRegionChangesNothing) {
+    const ServerRoundTrip way;
     CHECK_TRUE(way.atServer(milliseconds(33)) == milliseconds(33));
     DOUBLES_EQUAL(1, way.inflightPerRunning(milliseconds(33)), 0);
     DOUBLES_EQUAL(1, way.inflightPerRunning(Duration(0)), 0);
 }
 
-TEST(WayToServer, StatementsInTransitAreInFlightButOccupyNoSlot) {
-    const WayToServer way{milliseconds(60)};
+TEST(ServerRoundTrip, StatementsInTransitAreInFlightButOccupyNoSlot) {
+    const ServerRoundTrip way{milliseconds(60)};
     CHECK_TRUE(way.atServer(milliseconds(90)) == milliseconds(30));
     CHECK_TRUE(way.atServer(milliseconds(50)) == Duration(0));
     DOUBLES_EQUAL(3, way.inflightPerRunning(milliseconds(30)), 0.001);
--- a/tests/pooling/ServerDirectoryTest.cpp
+++ b/tests/pooling/ServerDirectoryTest.cpp
@@ -1,7 +1,7 @@
 #include <CppUTest/TestHarness.h>
 
 #include "pooling/ServerDirectory.h"
-#include "pooling/ServerLife.h"
+#include "pooling/ServerIncarnation.h"
 #include "tests/support/ManualClock.h"
 
 namespace coralhoist::pooling {
@@ -15,11 +15,11 @@
     testing::ManualClock clock;
     ServerDirectory directory;
 
-    static ServerAnnouncement life(std::int64_t startedAt, std::uint64_t version,
-                                   const char* group = "g") {
+    static ServerAnnouncement incarnation(std::int64_t startedAt, std::uint64_t version,
+                                          const char* group = "g") {
         ServerAnnouncement announcement;
         announcement.address.group = GroupName(group);
-        announcement.address.server = nameOfLife("s1", startedAt);
+        announcement.address.server = incarnationName("s1", startedAt);
         announcement.version.revision = version;
         return announcement;
     }
@@ -28,91 +28,92 @@
     }
     bool isListed(std::int64_t startedAt, const GroupName& group = kGroup) const {
         const auto& servers = directory.serversOf(group);
-        const auto found = servers.find(nameOfLife("s1", startedAt));
+        const auto found = servers.find(incarnationName("s1", startedAt));
         return found != servers.end() && !found->second.removed;
     }
 };
 
-TEST(ServerDirectory, AServerThatStartsAgainIsAnother) {
-    CHECK_TRUE(put(life(100, 5)));
-    CHECK_TRUE(put(life(200, 6)));
+TEST(ServerDirectory, ARestartedServerIsADifferentServer) {
+    CHECK_TRUE(put(incarnation(100, 5)));
+    CHECK_TRUE(put(incarnation(200, 6)));
     CHECK_FALSE(isListed(100));
     CHECK_TRUE(isListed(200));
-    STRCMP_EQUAL("s1", idOf(nameOfLife("s1", 200)).c_str());
+    STRCMP_EQUAL("s1", idOf(incarnationName("s1", 200)).c_str());
 }
 
-/** Clocks are not trusted: a later life may tell an earlier start. */
-TEST(ServerDirectory, TheOrderOfStartsDoesNotCount) {
-    put(life(200, 5));
-    CHECK_TRUE(put(life(100, 6)));
+/** Clocks are not trusted: a later incarnation may report an earlier start time. */
+TEST(ServerDirectory, TheOrderOfStartTimesIsIgnored) {
+    put(incarnation(200, 5));
+    CHECK_TRUE(put(incarnation(100, 6)));
     CHECK_TRUE(isListed(100));
     CHECK_FALSE(isListed(200));
 }
 
 /** The store may carry out a write seconds after it was sent, under a higher version. */
-TEST(ServerDirectory, ALateEntryOfAFormerLifeReplacesNoLaterOne) {
-    put(life(100, 5));
-    put(life(200, 6));
-    CHECK_FALSE(put(life(100, 7)));
+TEST(ServerDirectory, ALateEntryOfAFormerIncarnationReplacesNoLaterOne) {
+    put(incarnation(100, 5));
+    put(incarnation(200, 6));
+    CHECK_FALSE(put(incarnation(100, 7)));
     CHECK_TRUE(isListed(200));
-    directory.replaceAll({life(100, 7)}, {0, 8}, clock.now());
+    directory.replaceAll({incarnation(100, 7)}, {0, 8}, clock.now());
     CHECK_TRUE(isListed(200));
     CHECK_FALSE(isListed(100));
-    CHECK_FALSE(put(life(100, 4)));
-    CHECK_TRUE(put(life(200, 9)));
+    CHECK_FALSE(put(incarnation(100, 4)));
+    CHECK_TRUE(put(incarnation(200, 9)));
 }
 
-TEST(ServerDirectory, AnOlderEntryOfAnotherLifeChangesNothing) {
-    put(life(200, 6));
-    CHECK_FALSE(put(life(100, 5)));
+TEST(ServerDirectory, AnOlderEntryOfAnotherIncarnationChangesNothing) {
+    put(incarnation(200, 6));
+    CHECK_FALSE(put(incarnation(100, 5)));
     CHECK_TRUE(isListed(200));
     CHECK_FALSE(isListed(100));
 }
 
-TEST(ServerDirectory, ARemovedIdTakesAwayWhicheverLifeIsListed) {
-    put(life(100, 5));
-    put(life(200, 6));
+TEST(ServerDirectory, ARemovedIdRemovesWhicheverIncarnationIsListed) {
+    put(incarnation(100, 5));
+    put(incarnation(200, 6));
     CHECK_TRUE(directory.remove(ServerName("s1"), {0, 7}, clock.now()));
     CHECK_FALSE(isListed(200));
     CHECK_TRUE(directory.groupOf(ServerName("s1")) == kGroup);
 }
 
-TEST(ServerDirectory, AListWithoutTheServerTakesItAway) {
-    put(life(100, 5));
+TEST(ServerDirectory, AListWithoutTheServerRemovesIt) {
+    put(incarnation(100, 5));
     directory.replaceAll({}, {0, 6}, clock.now());
     CHECK_FALSE(isListed(100));
 }
 
 TEST(ServerDirectory, AServerThatChangesItsGroupLeavesTheFormerOne) {
-    put(life(100, 5));
-    CHECK_TRUE(put(life(100, 6, "h")));
+    put(incarnation(100, 5));
+    CHECK_TRUE(put(incarnation(100, 6, "h")));
     CHECK_FALSE(isListed(100));
     CHECK_TRUE(isListed(100, GroupName("h")));
 }
 
-TEST(ServerDirectory, LivesAreForgottenAfterAWhile) {
-    put(life(100, 5));
-    put(life(200, 6));
+TEST(ServerDirectory, IncarnationsAreForgottenAfterAWhile) {
+    put(incarnation(100, 5));
+    put(incarnation(200, 6));
     clock.advance(seconds(16));
     directory.expire(clock.now(), seconds(15));
     UNSIGNED_LONGS_EQUAL(1, directory.serversOf(kGroup).size());
 }
 
-/** An entry without a start, under the id of a server that tells one, is somebody else's. */
+/** An entry without a start time, under the id of a server that reports one, is by another writer.
+ */
 TEST(ServerDirectory, AnEntryOfAnotherWriterNamesNoServerAndEndsNoLife) {
-    put(life(100, 5));
-    ServerAnnouncement foreign = life(100, 6);
+    put(incarnation(100, 5));
+    ServerAnnouncement foreign = incarnation(100, 6);
     foreign.address.server = ServerName("s1");
     CHECK_TRUE(put(foreign));
     CHECK_FALSE(isListed(100));
     UNSIGNED_LONGS_EQUAL(1, directory.serversOf(kGroup).size());
-    CHECK_TRUE(put(life(100, 7)));
+    CHECK_TRUE(put(incarnation(100, 7)));
     CHECK_TRUE(isListed(100));
 }
 
 TEST(ServerDirectory, AnOlderEntryOfAnotherWriterChangesNothing) {
-    put(life(100, 5));
-    ServerAnnouncement foreign = life(100, 4);
+    put(incarnation(100, 5));
+    ServerAnnouncement foreign = incarnation(100, 4);
     foreign.address.server = ServerName("s1");
     CHECK_FALSE(put(foreign));
     CHECK_TRUE(isListed(100));
@@ -137,8 +138,8 @@
     }
 };
 
-/** The store shows what the server had written before it announced its end. */
-TEST(ServerDirectoryReturn, AServerThatDrainsDoesSoAfterTheStoreHasReturnedOlder) {
+/** The store returns the entry that the server had written before it announced that it drains. */
+TEST(ServerDirectoryReturn, ADrainingServerKeepsDrainingAfterTheStoreReverted) {
     directory.put(announcement({1, 50}, 9, true), clock.now());
     directory.replaceAll({announcement({2, 40}, 7, false)}, {2, 45}, clock.now());
     CHECK_TRUE(listed().announcement.draining);
@@ -147,7 +148,7 @@
     CHECK_FALSE(listed().announcement.draining);
 }
 
-TEST(ServerDirectoryReturn, AServerThatTheStoreHasLostHasTimeToWriteItsEntryAgain) {
+TEST(ServerDirectoryReturn, AServerThatTheStoreLostHasTimeToWriteItsEntryAgain) {
     directory.put(announcement({1, 50}, 9, false), clock.now());
     directory.replaceAll({}, {2, 40}, clock.now());
     CHECK_FALSE(listed().removed);
@@ -173,7 +174,7 @@
     CHECK_TRUE(listed().removed);
 }
 
-/** Three servers in each of many groups. */
+/** Each of many groups has three servers. */
 TEST_GROUP(ServerDirectoryAtSize) {
     testing::ManualClock clock;
 
@@ -183,13 +184,14 @@
         for (int index = 0; index < groups * kServersPerGroup; ++index) {
             ServerAnnouncement announcement;
             announcement.address.group = GroupName("g" + std::to_string(index / kServersPerGroup));
-            announcement.address.server = nameOfLife("i" + std::to_string(index), 100);
+            announcement.address.server = incarnationName("i" + std::to_string(index), 100);
             announcement.version.revision = static_cast<std::uint64_t>(index) + 1;
             announcements.push_back(announcement);
         }
         return announcements;
     }
-    /** @return servers that were looked at to take a list of all and one change of each. */
+    /** @return the number of servers examined to process a list of all servers and one change of
+     * each. */
     std::uint64_t workOf(int groups) const {
         ServerDirectory directory;
         std::vector<ServerAnnouncement> announcements = estate(groups);
@@ -208,14 +210,14 @@
     }
 };
 
-TEST(ServerDirectoryAtSize, TheWorkOfAnAnnouncementDoesNotGrowWithTheEstate) {
+TEST(ServerDirectoryAtSize, TheCostOfAnAnnouncementDoesNotGrowWithTheNumberOfServers) {
     const std::uint64_t small = workOf(10);
     CHECK(small > 0);
     UNSIGNED_LONGS_EQUAL(small * 30, workOf(300));
 }
 
-/** What a list shows that was known before concerns nobody. */
-TEST(ServerDirectoryAtSize, AListTellsWhichGroupsItChanges) {
+/** Entries of a list that were already known mark no group as changed. */
+TEST(ServerDirectoryAtSize, AListReportsWhichGroupsItChanges) {
     ServerDirectory directory;
     std::vector<ServerAnnouncement> announcements = estate(50);
     directory.replaceAll(announcements, {0, 150}, clock.now());
@@ -227,7 +229,7 @@
     CHECK_TRUE(directory.takeChanged() == (std::set<GroupName>{GroupName("g2"), GroupName("g49")}));
 }
 
-/** A server may take another group's address and start again there. */
+/** A server may receive another group's address and start again there. */
 TEST(ServerDirectoryAtSize, ALifeThatEndsInOneGroupByAStartInAnotherChangesBoth) {
     ServerDirectory directory;
     const std::vector<ServerAnnouncement> announcements = estate(2);
@@ -235,7 +237,7 @@
     directory.takeChanged();
     ServerAnnouncement moved = announcements.front();
     moved.address.group = GroupName("g1");
-    moved.address.server = nameOfLife("i0", 200);
+    moved.address.server = incarnationName("i0", 200);
     moved.version.revision = 7;
     CHECK_TRUE(directory.put(moved, clock.now()));
     CHECK_TRUE(directory.takeChanged() == (std::set<GroupName>{GroupName("g0"), GroupName("g1")}));
