--- a/src/admission/AdmissionPolicy.cpp
+++ b/src/admission/AdmissionPolicy.cpp
@@ -8,15 +8,16 @@
 /** Time between two looks: a refusal this much later is still one at once for a caller, and a look
  * costs as much as a choice of server for all that wait. */
 constexpr Duration kLookEvery = std::chrono::milliseconds(10);
-/** What waited longer ago than this tells nothing of a wait from now on. */
+/** A review older than this says nothing about the wait of a new statement. */
 constexpr Duration kLookTellsFor = std::chrono::milliseconds(150);
-/** A statement is refused only when this part of its forecast, one in so many, exceeds the time
- * left: forecasts may be wrong by that factor, and a wrong refusal costs a caller more than a wrong
- * wait. */
+/**
+ * A statement is refused only when its forecast divided by this factor exceeds the time left.
+ * Forecasts may be wrong by that factor, and a wrong refusal costs a caller more than a wrong wait.
+ */
 constexpr int kForecastTolerance = 2;
-/** Least time after which a caller is asked back: what a statement takes at a fast server. */
+/** Minimum retry delay: the time that a statement takes at a fast server. */
 constexpr Duration kLeastTurn = std::chrono::milliseconds(20);
-/** Turns are spread over no more than this: beyond it callers have left. */
+/** Retry times are spread over no more than this: beyond it callers have given up. */
 constexpr Duration kLongestSpread = std::chrono::seconds(1);
 
 Lane laneOf(const Applicant& applicant, TimePoint now) {
@@ -50,7 +51,7 @@
         LaneCounts& before = ahead[applicant.statementClass];
         LaneCounts counted = before;
         if (queued && laneOf(applicant, now) == Lane::OnTime) {
-            // What is late already goes before it once it is late itself.
+            // Statements that are late already precede this statement once it becomes late itself.
             counted.late = _waiting[applicant.statementClass].late;
         }
         const std::optional<Duration> wait =
--- a/src/admission/AdmissionPolicy.h
+++ b/src/admission/AdmissionPolicy.h
@@ -1,4 +1,4 @@
-/** Which waiting statements of a group are refused, and when their callers should come back. */
+/** Decides which queued statements of a group are refused, and when their callers should retry. */
 #pragma once
 
 #include <map>
@@ -13,70 +13,75 @@
 
 namespace coralhoist::admission {
 
-/** A statement that waits, as far as its admission depends on it. */
+/** The properties of a queued statement that its admission depends on. */
 struct Applicant {
     SessionId session;
     StatementClass statementClass;
-    /** Until then it goes before those that are late. */
+    /** Until this time the statement precedes those that are late. */
     TimePoint onTimeUntil{};
-    /** Last moment at which it can be sent and still be answered within its time. */
+    /** Last moment at which the statement can be sent and still be answered before its timeout. */
     TimePoint latestStart{};
-    /** What hinders it when that is no queue; of static storage, empty for a queue. */
+    /** What blocks the statement when that is not the queue; of static storage, empty for a queue.
+     */
     std::string_view obstacle;
 };
 
-/** A statement that is refused although its time has not passed. */
+/** A statement that is refused although its timeout has not passed. */
 struct ForecastRefusal {
     SessionId session;
-    /** Time until it would have been sent. */
+    /** Expected time until the statement would have been sent. */
     Duration forecast{0};
-    /** Time after which the caller should come back. */
+    /** Time after which the caller should retry. */
     Duration retryAfter{0};
 };
 
 /**
- * Answers an overload of one group: callers wait for as long as an answer can still reach them, and
- * who can't be served within it is told so at once, while there is time to do something else.
+ * Handles an overload of one group: callers wait for as long as an answer can still reach them. A
+ * caller that can't be served within that time is refused at once, while it still has time to do
+ * something else.
  *
- * A statement is refused when its forecast lies behind the last moment at which a sent statement is
- * still answered in time; a part of the timeout that has passed is no reason. A forecast that is
- * wrong by a factor leaves a queue that is shorter or longer by it, and no slot idle: a refusal
- * needs others of the same class that wait.
+ * A statement is refused when its forecast start lies after the last moment at which a sent
+ * statement is still answered in time; that a part of the timeout has passed is no reason to refuse
+ * it. A forecast that is wrong by a factor makes the queue shorter or longer by that factor, but
+ * leaves no slot idle: a refusal requires other queued statements of the same class.
  */
 class AdmissionPolicy {
 public:
-    /** A statement that waited until now has been sent. */
+    /** Records that a queued statement has been sent. */
     void noteStart(const StatementClass& statementClass, Lane lane) {
         _forecast.noteStart(statementClass, lane);
     }
 
-    /** @return whether the waiting statements are to be looked at. Cheap. */
+    /** @return whether the queued statements are due for a review. Cheap. */
     bool isDue(TimePoint now) const { return now >= _nextLook; }
 
     /**
-     * Looks at all that wait.
+     * Reviews all queued statements.
      * @param applicants in the order in which they are to be placed.
-     * @return those to be refused.
+     * @return the statements to refuse.
      */
     std::vector<ForecastRefusal> look(TimePoint now, const std::vector<Applicant>& applicants);
 
     /**
-     * @return when a caller should come back that is refused now: the forecast, and one start later
-     * than the caller refused before, so that returns come at the pace at which statements start.
+     * @return the time after which a caller that is refused now should retry: the forecast, and at
+     * least one start interval after the retry time of the caller refused before, so that retries
+     * arrive at the rate at which statements start.
      */
     Duration turnAfter(TimePoint now, const StatementClass& statementClass, Duration forecast);
 
-    /** @return the wait of a statement of the class behind all that waited at the last
-     * look; zero when that is long ago. */
+    /**
+     * @return the forecast wait of a statement of the class behind all statements that were queued
+     * at the last review; zero when that review is too old.
+     */
     Duration waitOfNext(const StatementClass& statementClass, TimePoint now) const;
 
 private:
     WaitForecast _forecast;
     ObstacleTimes _obstacles;
-    /** What waited at the last look. */
+    /** Numbers of statements that were queued at the last review. */
     std::map<StatementClass, LaneCounts> _waiting;
     TimePoint _nextLook{};
-    /** The last turn that a caller was told. */
+    /** The latest retry time that was given to a caller. */
     TimePoint _lastTurn{};
 };
 
--- a/src/admission/FairShares.cpp
+++ b/src/admission/FairShares.cpp
@@ -6,20 +6,24 @@
 namespace coralhoist::admission {
 namespace {
 
-/** What a statement is charged while its slot time is not known: that of a usual one. */
+/** The charge for a statement whose slot time is unknown: the slot time of a typical statement. */
 constexpr Duration kUnknownCharge = std::chrono::milliseconds(20);
 
-/** Slot time that a flow which could not be placed has in advance of others at most. More than a
- * long statement takes, and less than would make others late in their turn. */
+/**
+ * Upper bound of the credit of a flow whose statements could not be placed. It is more than a long
+ * statement takes, and less than would make other flows' statements late when the credit is used.
+ */
 constexpr Duration kMostCredit = std::chrono::milliseconds(100);
 
-/** Virtual starts are compared in steps of this: flows whose starts lie in one step were served
- * alike, and the shortest of their statements goes first, as it does within a flow. Most tenants
- * have one statement waiting at a time; by the exact start they would go in the order of arrival. A
- * flood is ahead of others by one step at most. */
+/**
+ * Virtual starts are compared in steps of this size. Flows whose starts lie in one step count as
+ * equally served, and the shortest of their statements goes first, as within a flow. Most tenants
+ * have one queued statement at a time; by the exact start they would be served in order of arrival.
+ * A flow that floods the queue gains one step over the others at most.
+ */
 constexpr Duration kAlike = std::chrono::milliseconds(50);
 
-/** Flows that wait for nothing are looked for when so many are known. */
+/** Idle flows are removed once this many flows are known. */
 constexpr std::size_t kManyFlows = 1024;
 
 }  // namespace
@@ -86,7 +90,7 @@
     }
 }
 
-/** @return a heap of the flows that wait. */
+/** @return a heap of the flows that have queued statements. */
 std::vector<FairShares::Turn> FairShares::turns() const {
     std::vector<Turn> heap;
     heap.reserve(_flows.size());
@@ -100,12 +104,13 @@
     return heap;
 }
 
-/** @return the virtual start of the next statement of a flow that waits. */
+/** @return the virtual start of the next statement of a flow with queued statements. */
 Duration FairShares::startOf(const Flow& flow) const {
     return std::max(flow.finish, _virtualTime - kMostCredit);
 }
 
-/** A flow that waits for nothing and lies behind the virtual time is as good as a new one. */
+/** Removes flows without queued statements whose finish is not after the virtual time: they are
+ * equivalent to new flows. */
 void FairShares::dropIdle() {
     std::erase_if(_flows, [this](const auto& entry) {
         return entry.second.waiting.empty() && entry.second.finish <= _virtualTime;
--- a/src/admission/FirstAsking.h
+++ b/src/admission/FirstAsking.h
@@ -1,4 +1,4 @@
-/** When a caller first asked for what it asks again. */
+/** Remembers when a caller first sent a statement that it sends again after a refusal. */
 #pragma once
 
 #include <cstddef>
@@ -9,19 +9,21 @@
 namespace coralhoist::admission {
 
 /**
- * Answers callers that come back after a refusal with the same statement under another id: a return
- * is queued, and its time counted, from the moment at which they first asked. Kept with the
- * session, so it is bounded by them and ends with them.
+ * Recognises a retry of a refused statement that comes under another id: the retry is queued, and
+ * its time counted, from the moment of the first attempt. The record is kept in the session, so the
+ * number of records is bounded by the number of sessions and a record ends with its session.
  */
 class FirstAsking {
 public:
-    /** @return whether anything that was refused may still be asked again. Cheap: most sessions
-     * have nothing, and then what they ask need not be hashed. */
+    /**
+     * @return whether a retry of a refused statement can still be recognised. Cheap: most sessions
+     * have no such statement, and their statements need not be hashed.
+     */
     bool remembers(TimePoint now) const { return now < _until; }
 
     /**
-     * @param statement hash of what is asked.
-     * @return when it was first asked; nothing when it is asked for the first time.
+     * @param statement hash of the statement.
+     * @return when the statement was first sent; nothing for a first attempt.
      */
     std::optional<TimePoint> of(std::size_t statement, TimePoint now) const {
         const bool known = _statement == statement && now < _until;
@@ -29,8 +31,9 @@
     }
 
     /**
-     * The statement was refused as not run.
-     * @param keptFor time from the first asking on after which a repetition is a new statement.
+     * Records that the statement was refused without having run.
+     * @param keptFor time from the first attempt after which a repetition counts as a new
+     *        statement.
      */
     void noteRefused(std::size_t statement, TimePoint firstAt, Duration keptFor) {
         _statement = statement;
@@ -38,7 +41,8 @@
         _until = firstAt + keptFor;
     }
 
-    /** A statement of the session has succeeded: what was refused before is no longer asked. */
+    /** Records that a statement of the session has succeeded: the refused statement is no longer
+     * retried. */
     void noteSucceeded() { _until = TimePoint{}; }
 
 private:
--- a/src/admission/ObstacleTimes.cpp
+++ b/src/admission/ObstacleTimes.cpp
@@ -3,18 +3,18 @@
 namespace coralhoist::admission {
 namespace {
 
-/** An obstacle that nobody has met for so long is over. */
+/** An obstacle that has blocked no statement for this long has ended. */
 constexpr Duration kOver = std::chrono::milliseconds(150);
-/** Weight of a new time: one in so many. */
+/** A new duration is weighted with one part in this many. */
 constexpr int kSmoothing = 4;
-/** One end alone may have been an exception: a refusal rests on several. */
+/** Number of ended obstacles needed for a forecast: a single one may have been an exception. */
 constexpr std::uint32_t kLeastEnds = 3;
 
 }  // namespace
 
 void ObstacleTimes::noteSeen(std::string_view name, TimePoint now) {
     Obstacle& obstacle = _obstacles[name];
-    // Nobody may have looked since the former one ended.
+    // No review may have taken place since the previous obstacle ended.
     endIfOver(obstacle, now);
     if (!obstacle.since) {
         obstacle.since = now;
--- a/src/admission/ObstacleTimes.h
+++ b/src/admission/ObstacleTimes.h
@@ -1,4 +1,4 @@
-/** How long what hinders a group's statements, and is no queue, usually lasts. */
+/** Estimates how long conditions other than the queue block a group's statements. */
 #pragma once
 
 #include <cstdint>
@@ -10,21 +10,19 @@
 
 namespace coralhoist::admission {
 
-/**
- * Answers a primary that is gone, a promotion that settles and leadership that is unproven: no
- * queue moves on then, but each ends after a time that the former ones tell.
- */
+/** Covers a missing primary, a promotion that has not settled and unproven leadership: no queue
+ * moves while they last, but each ends after a time that previous occurrences predict. */
 class ObstacleTimes {
 public:
-    /** The obstacle hinders statements at this time. @param name of static storage. */
+    /** Records that the obstacle blocks statements at this time. @param name of static storage. */
     void noteSeen(std::string_view name, TimePoint now);
 
-    /** Ends the obstacles that hindered nothing at the last look. */
+    /** Ends the obstacles that have not blocked statements lately. */
     void noteLook(TimePoint now);
 
     /**
-     * @return the time until the obstacle usually ends; nothing when too few have been seen, or
-     * when this one has lasted longer than they did.
+     * @return the time until the obstacle usually ends; nothing when too few occurrences have been
+     * seen, or when this one has lasted longer than they usually did.
      */
     std::optional<Duration> untilEnd(std::string_view name, TimePoint now) const;
 
@@ -32,7 +30,7 @@
     struct Obstacle {
         std::optional<TimePoint> since;
         TimePoint seenAt{};
-        /** Smoothed time for which it lasted, and how many times it was seen to end. */
+        /** Smoothed duration of the obstacle, and how many times it was seen to end. */
         Duration usual{0};
         std::uint32_t ends = 0;
     };
--- a/src/admission/WaitForecast.cpp
+++ b/src/admission/WaitForecast.cpp
@@ -6,15 +6,16 @@
 namespace coralhoist::admission {
 namespace {
 
-/** Time over which an observation fades to a third: as long as common timeouts, so that it can
- * tell of a wait that long, and no longer than a burst. */
+/** Time constant after which an observation has decayed to about a third. It is as long as common
+ * timeouts, so that waits of that length can be forecast, and no longer than a burst. */
 constexpr Duration kFading = std::chrono::seconds(2);
-/** Starts assumed beside those seen: as many as may fail to be seen by chance, so that a lane in
- * which nothing has started yet is not taken for one that stands still. */
+/** Starts assumed in addition to those seen: as many as may be missed by chance, so that a lane in
+ * which no statement has started yet does not count as blocked. */
 constexpr double kAssumedStarts = 3;
-/** Between two looks further apart than this nobody has waited all the time. */
+/** When two reviews are further apart than this, no statement is assumed to have waited throughout.
+ */
 constexpr Duration kLongestGap = std::chrono::milliseconds(150);
-/** What was watched for less tells nothing and is forgotten. */
+/** A lane that was observed for less than this yields no forecast and is removed. */
 constexpr Duration kForgotten = std::chrono::milliseconds(2);
 
 }  // namespace
--- a/src/admission/WaitForecast.h
+++ b/src/admission/WaitForecast.h
@@ -1,4 +1,5 @@
-/** How long a statement will wait for a slot, from what its kind has waited for lately. */
+/** Forecasts how long a statement waits for a slot, from recent waits of statements of its class.
+ */
 #pragma once
 
 #include <compare>
@@ -12,66 +13,69 @@
 
 namespace coralhoist::admission {
 
-/** Statements whose waits are forecast together: of one service and one kind of unit. Not the flows
- * of FairShares, which are tenants. */
+/** Statements whose waits are forecast together: those of one service and one kind of unit. Not the
+ * flows of FairShares, which are tenants. */
 struct StatementClass {
     ServiceName service;
-    /** Number of the kind: what it needs of servers and how long it takes there. */
+    /** Number of the kind, which determines the servers that it can use and its time there. */
     std::uint32_t kind = 0;
 
     // NOLINTNEXTLINE(modernize-use-nullptr): the linter takes the generated comparison for a null.
     auto operator<=>(const StatementClass&) const = default;
 };
 
-/** Where a statement of a class stands in the queue. */
+/** The part of the queue that a statement of a class is in. */
 enum class Lane {
-    OnTime, /**< It may still meet its objective. */
-    Late,   /**< It goes after those that may. */
+    OnTime, /**< It can still meet its objective. */
+    Late,   /**< It follows the statements that can. */
 };
 
-/** How many of each lane of a class wait. */
+/** Number of queued statements in each lane of a class. */
 struct LaneCounts {
     std::size_t onTime = 0;
     std::size_t late = 0;
 };
 
 /**
- * Answers a load of more statements than the usable slots serve, where the queue itself tells too
- * little: those that are more urgent, shorter or on time overtake, servers shed, and replicas that
- * lag serve nobody. All of that shows in the pace at which statements of one class and lane are
- * started while others of them wait, so the forecast is that pace times the number ahead.
+ * Forecasts waits when more statements arrive than the usable slots serve. The length of the queue
+ * alone is not enough: statements that are more urgent, shorter or on time overtake others, servers
+ * shed load, and lagging replicas serve no reads. All of that shows in the rate at which statements
+ * of one class and lane start while others of them are queued, so the forecast is the start
+ * interval times the number of statements ahead.
  *
- * A few starts more than were seen are assumed: without an observation the forecast is zero, and a
- * lane that gets no slot has to be watched for a while before anything is inferred from it.
+ * A few starts more than those seen are assumed: without an observation the forecast is zero, and a
+ * lane that gets no slot has to be observed for a while before anything is inferred from it.
  */
 class WaitForecast {
 public:
-    /** A statement has been sent to a server. */
+    /** Records that a statement has been sent to a server. */
     void noteStart(const StatementClass& statementClass, Lane lane);
 
-    /** Takes what waits now. Called every few milliseconds while anything waits. */
+    /** Takes the number of queued statements. Called every few milliseconds while any are queued.
+     */
     void observe(TimePoint now, const std::map<StatementClass, LaneCounts>& waiting);
 
-    /** @return the time between two starts in the lane; zero when it has not been observed. */
+    /** @return the interval between two starts in the lane; zero when it has not been observed. */
     Duration pace(const StatementClass& statementClass, Lane lane) const;
 
     /**
-     * @param ahead statements of its class that go before it.
-     * @param onTimeLeft time after which the statement is late; zero or less when it is.
-     * @return the time until it starts.
+     * @param ahead statements of the same class that precede the statement.
+     * @param onTimeLeft time after which the statement is late; zero or less when it is late
+     *        already.
+     * @return the time until the statement starts.
      */
     Duration waitOf(const StatementClass& statementClass, const LaneCounts& ahead,
                     Duration onTimeLeft) const;
 
-    /** @return the lanes of which something is remembered. */
+    /** @return the number of lanes with an observation. */
     std::size_t size() const { return _observations.size(); }
 
 private:
     using Key = std::pair<StatementClass, Lane>;
     struct Observation {
-        /** Time for which the lane was watched while statements waited in it, faded. */
+        /** Time for which the lane was observed while statements were queued in it, with decay. */
         Duration watched{0};
-        /** Starts within it, faded alike. */
+        /** Starts within that time, with the same decay. */
         double starts = 0;
         /** Starts since the last call of observe. */
         std::uint32_t newStarts = 0;
--- a/src/admission/WaitingQueue.cpp
+++ b/src/admission/WaitingQueue.cpp
@@ -6,8 +6,8 @@
 namespace coralhoist::admission {
 namespace {
 
-/** Slot time kept for one rank at most. Covers the longest statements; more would make the first
- * rank wait for a while once a rank that could not be placed can. */
+/** Upper bound of the slot time reserved for one rank. It covers the longest statements; a higher
+ * bound would delay the first rank once a rank that could not be placed becomes placeable. */
 constexpr Duration kMostKept = std::chrono::milliseconds(200);
 
 constexpr std::uint32_t kWhole = 100;
@@ -82,7 +82,7 @@
     return statement.arrivedAt + statement.onTimeFor;
 }
 
-/** Takes the statement out of its rank. */
+/** Removes the statement from its rank. */
 void WaitingQueue::take(const Entry& entry) {
     RankQueue& rank = _ranks[entry.statement.rank];
     const SessionId session = entry.statement.session;
@@ -94,7 +94,8 @@
     rank.late.erase(std::ranges::lower_bound(rank.late, arrival));
 }
 
-/** Slot time was given to a rank: each that waits behind the first gets its part of it. */
+/** Accounts for slot time given to a rank: each queued rank behind the first gets its part of it
+ * reserved. */
 void WaitingQueue::chargeRank(std::uint32_t rank, Duration slotTime) {
     if (_minimumShare == 0 || _ranks.size() < 2) {
         return;
@@ -106,7 +107,7 @@
     }
 }
 
-/** Moves what is no longer on time behind what is. */
+/** Moves statements that are no longer on time behind those that are. */
 void WaitingQueue::moveLate(TimePoint now) const {
     for (auto& [number, rank] : _ranks) {
         while (!rank.lateFrom.empty() && rank.lateFrom.begin()->first <= now) {
@@ -120,7 +121,10 @@
     }
 }
 
-/** @return how many of the rank's statements, which begin at a place, its kept slot time covers. */
+/**
+ * @return how many of the rank's statements, starting at position `from`, its reserved slot time
+ * covers.
+ */
 std::size_t WaitingQueue::keptTurns(const RankQueue& rank, const std::vector<SessionId>& order,
                                     std::size_t from) const {
     Duration left = rank.kept;
--- a/src/admission/WaitingQueue.h
+++ b/src/admission/WaitingQueue.h
@@ -1,4 +1,4 @@
-/** Statements of one group that wait for a server, and the order in which servers are offered. */
+/** Statements of one group that wait for a server, and the order in which they are placed. */
 #pragma once
 
 #include <cstddef>
@@ -16,46 +16,49 @@
 
 namespace coralhoist::admission {
 
-/** A statement that waits, as far as its order depends on it. */
+/** The properties of a queued statement that its position depends on. */
 struct WaitingStatement {
     SessionId session;
-    /** Lower ranks go first. */
+    /** Lower ranks are served first. */
     std::uint32_t rank = 0;
     TimePoint arrivedAt{};
-    /** Time from its arrival within which it still goes before those that are late. */
+    /** Time from arrival during which the statement precedes those that are late. */
     Duration onTimeFor{0};
-    /** Time for which it is expected to occupy a slot. */
+    /** Time for which the statement is expected to occupy a slot. */
     Duration slotTime{0};
-    /** Name of the flow that it takes a turn of; statements without one are one flow. */
+    /** Name of the flow that the statement belongs to; statements without a name form one flow. */
     std::string flow{};
 };
 
 /**
- * Answers an overload: more statements than the servers' slots can serve in time.
+ * Orders the statements of an overloaded group, which has more statements than the servers' slots
+ * can serve in time.
  *
- * Ranks go first. Within a rank, statements that can still meet their objective go before those
- * that have waited too long for that; otherwise an overload would make every statement late. Among
- * the former, flows take turns by FairShares, and of a flow those that occupy a slot for the least
- * time go first, so that the fewest are left unserved; the latter keep the order of their arrival.
+ * Lower ranks go first. Within a rank, statements that can still meet their objective precede those
+ * that have waited too long for that; otherwise an overload would make every statement late. The
+ * statements that are on time are ordered by FairShares: flows share the slots, and within a flow
+ * the smallest slot time goes first, so that the fewest statements are left unserved. Late
+ * statements keep their order of arrival.
  *
- * Without a minimum share, a rank is served when those before it have nothing that can be placed:
- * nothing goes first for having waited long. Its statements could not be answered in time anyway,
- * and would make urgent ones late. With a minimum share, that part of the slot time placed is kept
- * for the ranks that wait behind the first, in equal parts: a rank goes first as soon as its part
- * covers its next statement.
+ * Without a minimum share, a rank is served only when the ranks before it have no statement that
+ * can be placed: a long wait alone does not move a statement forward. Such a statement could not be
+ * answered in time anyway, and would make urgent ones late. With a minimum share, that part of the
+ * placed slot time is reserved for the queued ranks behind the first, in equal parts: a rank goes
+ * first as soon as its reserve covers its next statement.
  */
 class WaitingQueue {
 public:
-    /** Keeps a part of the slot time, in percent, for the ranks that wait behind the first. */
+    /** Reserves a part of the slot time, in percent, for the queued ranks behind the first. */
     void setMinimumShare(std::uint32_t percent) { _minimumShare = percent; }
 
-    /** Adds the statement, in place of an earlier one of its session. */
+    /** Adds the statement and replaces an earlier one of the same session. */
     void add(const WaitingStatement& statement);
 
-    /** The session's statement no longer waits and took nobody's turn. */
+    /** Removes the session's statement without charging its flow or rank. */
     void remove(SessionId session);
 
-    /** The session's statement was given a slot: its flow and its rank are charged. */
+    /** Removes the session's statement, which was given a slot, and charges its flow and its rank.
+     */
     void placed(SessionId session);
 
     /** @return the sessions in the order in which their statements are to be placed. */
@@ -70,16 +73,16 @@
         WaitingStatement statement;
         std::uint64_t number = 0;
     };
-    /** A statement in the order of arrival. */
+    /** A statement by its order of arrival. */
     using Arrival = std::pair<std::uint64_t, SessionId>;
-    /** What waits in one rank. Forgotten with its last statement: then nobody waits for a turn. */
+    /** The queue of one rank. Removed with its last statement: no flow waits for its share then. */
     struct RankQueue {
         FairShares onTime;
         /** Sorted. */
         std::vector<Arrival> late;
-        /** When each of those on time becomes late. */
+        /** When each of the statements on time becomes late. */
         std::set<std::pair<TimePoint, SessionId>> lateFrom;
-        /** Slot time kept for it and not used yet. */
+        /** Slot time reserved for the rank and not used yet. */
         Duration kept{0};
 
         std::size_t size() const { return late.size() + lateFrom.size(); }
@@ -94,7 +97,7 @@
                           std::size_t from) const;
 
     std::unordered_map<SessionId, Entry> _entries;
-    /** Changes within `order` by what has become late since, which no caller sees. */
+    /** `order` moves statements that have become late since; callers can't observe that change. */
     mutable std::map<std::uint32_t, RankQueue> _ranks;
     /** Numbers entries in the order in which they were added. */
     std::uint64_t _lastNumber = 0;
