--- a/src/locality/BackgroundShare.cpp
+++ b/src/locality/BackgroundShare.cpp
@@ -7,9 +7,10 @@
 namespace {
 
 constexpr Duration kWindow = std::chrono::seconds(1);
-/** One byte for so many of statements. */
+/** Foreground bytes that allow one background byte. */
 constexpr std::uint64_t kForegroundPerByte = 2;
-/** Bytes of a window in any case: the reports of a crowd that begins. */
+/** Background bytes that every window allows: enough for the load reports at the start of a burst.
+ */
 constexpr std::uint64_t kLeastBytes = 4096;
 
 }  // namespace
--- a/src/locality/BackgroundShare.h
+++ b/src/locality/BackgroundShare.h
@@ -1,4 +1,4 @@
-/** What of the link between regions may be used for what nobody waits for. */
+/** Limits background traffic on the link between regions. */
 #pragma once
 
 #include <cstddef>
@@ -10,19 +10,20 @@
 namespace coralhoist::locality {
 
 /**
- * Bounds what can be dropped to a part of what must cross: the rate of the link is not known, and
- * reports between executors grow with the square of their number. Each second has a part of what
- * statements and their answers took in the one before, and a little where they took nothing.
+ * Limits traffic that can be dropped to a part of the traffic that must cross: the rate of the link
+ * is not known, and load reports between executors grow with the square of their number. Each
+ * second allows a part of the bytes that statements and their answers took in the second before,
+ * and a small minimum where they took none.
  */
 class BackgroundShare {
 public:
-    /** @param traffic of this node; outlives the share. */
+    /** @param traffic the traffic of this node; outlives this object. */
     explicit BackgroundShare(const RegionTraffic& traffic) : _traffic(traffic) {}
 
-    /** @return whether so many bytes may be sent now; they are taken for sent. */
+    /** @return whether this many bytes may be sent now; if so, they count as sent. */
     bool take(std::size_t bytes, TimePoint now);
 
-    /** @return how often something was kept back. */
+    /** @return how often a message was not allowed. */
     std::uint64_t keptBack() const { return _keptBack; }
 
 private:
--- a/src/locality/EvacuatedZones.cpp
+++ b/src/locality/EvacuatedZones.cpp
@@ -6,8 +6,8 @@
 namespace coralhoist::locality {
 namespace {
 
-/** Part of the bound that is left for what is on its way to a server when its zone closes, and for
- * an event loop that comes late. */
+/** One part in this many of the bound is reserved for requests that are on their way to a server
+ * when its zone closes, and for delays of the event loop. */
 constexpr int kMarginParts = 8;
 
 TimePoint closingAfter(TimePoint provenAt, Duration bound, TimePoint now) {
@@ -69,7 +69,7 @@
     std::for_each(lost.begin(), lost.end(), [this](const ZoneName& zone) { giveBack(zone); });
 }
 
-/** @return whether the version is later than all that is known of the zone; if so, it is noted. */
+/** @return whether the version is later than every known version of the zone; if so, records it. */
 bool EvacuatedZones::isNews(const ZoneName& zone, const StoreVersion& version) {
     StoreVersion& known = _versions[zone];
     if (version <= known || version.era < _listed.era) {
--- a/src/locality/EvacuatedZones.h
+++ b/src/locality/EvacuatedZones.h
@@ -1,4 +1,4 @@
-/** Which zones operators evacuate, and when each must be empty. */
+/** Tracks the zones that operators evacuate, and when each zone must be empty. */
 #pragma once
 
 #include <cstdint>
@@ -11,57 +11,60 @@
 
 namespace coralhoist::locality {
 
-/** How far the evacuation of a zone has come. */
+/** The state of a zone's evacuation. */
 enum class ZoneUse {
     Free,    /**< Not evacuated. */
-    Leaving, /**< Evacuated; what can't go elsewhere yet may still be sent there. */
-    Closed,  /**< Evacuated; nothing more is sent there. */
+    Leaving, /**< Evacuated; statements that can't go elsewhere yet may still be sent there. */
+    Closed,  /**< Evacuated; nothing is sent there any more. */
 };
 
-/** One zone that is evacuated. */
+/** One evacuated zone. */
 struct Evacuation {
     /** When this node learned of it. */
     TimePoint learnedAt{};
-    /** Nothing is sent to the zone from then on. */
+    /** From this time on nothing is sent to the zone. */
     TimePoint closesAt{};
 };
 
 /**
- * The evacuations that a store of versioned objects shows, fed with its lists and events.
+ * The evacuations in a store of versioned objects, fed with the store's lists and events.
  *
- * An evacuation was acknowledged after the last moment at which the store is proven to have been
- * without it, so that a zone which closes a margin before that moment and the bound is closed in
- * time. A node that was proven nothing closes it at once.
+ * An evacuation was acknowledged after the last moment at which the store is proven not to have
+ * contained it. A zone that closes a margin before that moment plus the bound is therefore closed
+ * in time. A node without any proof closes the zone at once.
  *
- * Invariants: an evacuation that is in force ends by a later removal of it or by a later list of
- * its era alone. Where the store has returned from an older copy and lacks it, its operator may be
- * about to write it again: it stays until a list is proven that was asked for after that. What is
- * older than what is known changes nothing.
+ * Invariants: an evacuation in force ends only by a later removal of it or by a later list of the
+ * same era. Where the store was restored from an older copy that lacks the evacuation, its operator
+ * may be about to write it again: it stays in force until a list that was requested after that is
+ * proven. A version older than the known one changes nothing.
  */
 class EvacuatedZones {
 public:
-    /** @param bound from the store's acknowledgement of an evacuation to the last request. */
+    /**
+     * @param bound maximum time from the store's acknowledgement of an evacuation to the last
+     *        request that is sent to the zone.
+     */
     explicit EvacuatedZones(Duration bound) : _bound(bound) {}
 
     /**
-     * Takes all evacuations that a list shows.
-     * @param zones with the version of each one's object.
+     * Takes all evacuations in a list of the store.
+     * @param zones with the version of each zone's object.
      * @param version of the list.
-     * @param provenAt up to when the evacuations that were known before are proven complete; the
-     *        epoch when nothing was proven.
+     * @param provenAt time up to which the evacuations known before are proven complete; the epoch
+     *        when nothing was proven.
      */
     void takeList(const std::map<ZoneName, StoreVersion>& zones, const StoreVersion& version,
                   TimePoint provenAt, TimePoint now);
 
-    /** An evacuation was written. The arguments are those of `takeList`. */
+    /** Takes an evacuation that was written. The parameters are those of `takeList`. */
     void takeEvacuation(const ZoneName& zone, const StoreVersion& version, TimePoint provenAt,
                         TimePoint now);
 
-    /** An evacuation was taken back. */
+    /** Takes the removal of an evacuation. */
     void takeRemoval(const ZoneName& zone, const StoreVersion& version);
 
-    /** What is known is proven complete up to a moment; ends what a return of the store has lost
-     * and nobody has written again. */
+    /** Records that the known evacuations are proven complete up to a moment. Ends the evacuations
+     * that were lost when the store was restored and that have not been written again. */
     void noteProven(TimePoint provenAt);
 
     /** @return how far the zone may be used. */
@@ -71,10 +74,10 @@
     /** All zones that are evacuated. */
     const std::map<ZoneName, Evacuation>& zones() const { return _zones; }
 
-    /** @return when the next zone closes after `now`; none when no more does. */
+    /** @return when the next zone closes after `now`; none when no further zone closes. */
     std::optional<TimePoint> nextClosing(TimePoint now) const;
 
-    /** @return a number that rises whenever a zone becomes evacuated or is given back. */
+    /** @return a counter that rises whenever an evacuation of a zone begins or ends. */
     std::uint64_t changes() const { return _changes; }
 
 private:
@@ -83,11 +86,11 @@
 
     Duration _bound;
     std::map<ZoneName, Evacuation> _zones;
-    /** Version of the last change of each zone's evacuation that is known, removals included. */
+    /** Latest known version of each zone's evacuation, removals included. */
     std::map<ZoneName, StoreVersion> _versions;
     /** Version of the newest list. */
     StoreVersion _listed;
-    /** Zones that a list of a later era lacks, and when that was learned. */
+    /** Evacuated zones that are missing from a list of a later era, and when that was learned. */
     std::map<ZoneName, TimePoint> _unconfirmed;
     std::uint64_t _changes = 0;
 };
--- a/src/locality/HomeRegions.h
+++ b/src/locality/HomeRegions.h
@@ -9,30 +9,28 @@
 
 namespace coralhoist::locality {
 
-/**
- * Either no bond at all, or a set of regions. A set without a region in common is a bond that
- * nothing meets. A zone whose region is not known is in no home.
- */
+/** Either unrestricted or a set of regions. An empty set is a restriction that no region satisfies.
+ * A zone whose region is not known is in no home. */
 class HomeRegions {
 public:
-    /** Binds nothing. */
+    /** Unrestricted. */
     HomeRegions() = default;
-    /** @param regions none: binds nothing. */
+    /** @param regions if empty, the result is unrestricted. */
     explicit HomeRegions(const std::vector<RegionName>& regions);
 
-    /** @return the regions that meet both bonds. */
+    /** @return the regions that satisfy both restrictions. */
     HomeRegions joinedWith(const HomeRegions& other) const;
 
     /** @return whether any region is excluded. */
     bool binds() const { return _binds; }
 
-    /** @return whether no region meets the bond. */
+    /** @return whether no region satisfies the restriction. */
     bool excludesAll() const { return _binds && _regions.empty(); }
 
-    /** @return whether a machine of the zone stands in a home. */
+    /** @return whether a machine of the zone is in a home. */
     bool allow(const RegionMap& map, const ZoneName& zone) const;
 
-    /** @return the regions; none where nothing is bound, too. */
+    /** @return the regions; empty also when unrestricted. */
     const std::set<RegionName>& regions() const { return _regions; }
 
     bool operator==(const HomeRegions&) const = default;
--- a/src/locality/PlaceDistances.cpp
+++ b/src/locality/PlaceDistances.cpp
@@ -5,11 +5,12 @@
 namespace coralhoist::locality {
 namespace {
 
-/** The least of this window and the one before counts. */
+/** The minimum of this window and of the previous one applies. */
 constexpr Duration kWindow = std::chrono::seconds(5);
-/** A round trip that was measured longer ago says nothing any more. */
+/** A round trip that was measured longer ago than this is ignored. */
 constexpr Duration kKnownFor = std::chrono::seconds(60);
-/** Round trip to another region of which nothing is known: cities some hundred kilometres apart. */
+/** Round trip assumed for another region without a measurement: cities some hundred kilometres
+ * apart. */
 constexpr Duration kAssumedRoundTrip = std::chrono::milliseconds(40);
 
 }  // namespace
--- a/src/locality/PlaceDistances.h
+++ b/src/locality/PlaceDistances.h
@@ -1,4 +1,4 @@
-/** How far other places are away. */
+/** Estimates the round trips to other zones. */
 #pragma once
 
 #include <map>
@@ -10,30 +10,31 @@
 
 namespace coralhoist::locality {
 
-/** The time to a place and back. */
+/** The round trip to a zone. */
 struct RoundTrip {
     Duration time{0};
-    /** Time since it was measured last; none for what only the places' regions tell. */
+    /** Time since the last measurement; none when the value is derived from the regions alone. */
     std::optional<Duration> age;
 
     bool isMeasured() const { return age.has_value(); }
 };
 
 /**
- * Round trips from this node to other regions, as exchanges that happen anyway show them: the
- * opening of connections, and signs of life. The least of some seconds counts, so that neither a
- * crowd at one node nor a retransmission makes a region seem farther away; a link that has become
- * slow for all is believed once a window has passed.
+ * Round trips from this node to other regions, measured on exchanges that take place anyway: the
+ * opening of connections, and heartbeats. The minimum over some seconds applies, so that neither a
+ * burst of work at one node nor a retransmission makes a region seem farther away; a link that has
+ * become slow for all exchanges is recognised once a window has passed.
  *
- * What has not been measured for long counts as unknown, and is taken from the regions alone.
+ * A measurement that has become too old counts as missing; the round trip is then derived from the
+ * regions alone.
  */
 class PlaceDistances {
 public:
     PlaceDistances(const RegionMap& regions, const ZoneName& zone)
         : _regions(regions), _zone(zone) {}
 
-    /** An exchange with the zone took so long. Zones of the own region and unknown ones are left
-     * out. */
+    /** Records the round trip of an exchange with the zone. Zones of the own region and unknown
+     * zones are ignored. */
     void note(const ZoneName& zone, Duration roundTrip, TimePoint now);
 
     /** @return the round trip to the zone; 0 within the region and to a zone that is not known. */
--- a/src/locality/RegionMap.h
+++ b/src/locality/RegionMap.h
@@ -1,4 +1,4 @@
-/** The regions of an estate and the zones that each of them has. */
+/** The regions of an estate and the zones of each region. */
 #pragma once
 
 #include <map>
@@ -8,18 +8,20 @@
 
 namespace coralhoist::locality {
 
-/** Which region each zone belongs to. Immutable. */
+/** Maps zones to regions. Immutable. */
 class RegionMap {
 public:
-    /** No zone is known: all zones seem to be in one region without a name. */
+    /** Knows no zone: all zones appear to be in one region without a name. */
     RegionMap() = default;
     explicit RegionMap(std::map<ZoneName, RegionName> regions);
 
     /** @return the region of the zone; an empty name for a zone that is not known. */
     const RegionName& regionOf(const ZoneName& zone) const;
 
-    /** @return whether both zones are in one region. Zones that are not known are in no region of
-     * another one. */
+    /**
+     * @return whether both zones are in one region. A zone that is not known shares a region with
+     * no other zone.
+     */
     bool areInOneRegion(const ZoneName& zone, const ZoneName& other) const;
 
     /** @return all regions. */
--- a/src/locality/RegionTraffic.h
+++ b/src/locality/RegionTraffic.h
@@ -1,4 +1,4 @@
-/** What passes between this node's region and others. */
+/** Counts the traffic between this node's region and others. */
 #pragma once
 
 #include <array>
@@ -10,41 +10,41 @@
 
 namespace coralhoist::locality {
 
-/** What bytes are sent for. */
+/** The purpose of a transfer. */
 enum class TrafficPurpose {
     Units,       /**< Statements that other nodes execute, and their answers. */
     Servers,     /**< Statements to servers, their answers and reports of their state. */
-    Feeds,       /**< What the store holds, handed on by nodes. */
+    Feeds,       /**< Contents of the store that nodes relay. */
     Proofs,      /**< Proofs of leadership. */
     Quotas,      /**< Units of tenants' quotas and copies of their ledgers. */
-    LoadReports, /**< What executors tell each other of their load. */
-    Upkeep,      /**< Signs of life. */
+    LoadReports, /**< Load reports between executors. */
+    Upkeep,      /**< Heartbeats. */
 };
 constexpr std::size_t kTrafficPurposes = 7;
 
-/** @return a word for metrics and logs. */
+/** @return the name for metrics and logs. */
 const char* describe(TrafficPurpose purpose);
 
 enum class TrafficDirection { Sent, Received };
 
-/**
- * Counts the bytes of frames, without those of lower layers, on connections that this node opened:
- * each connection between two nodes is counted by one of them, in both directions.
- */
+/** Counts the bytes of frames, without those of lower layers, on connections that this node opened.
+ * Each connection between two nodes is thus counted by one of them, in both directions. */
 class RegionTraffic {
 public:
     RegionTraffic(const RegionMap& regions, const ZoneName& zone)
         : _regions(regions), _zone(zone) {}
 
-    /** @return whether what is sent to the zone leaves this node's region. False for a zone that is
-     * not known, and with one region. */
+    /**
+     * @return whether traffic to the zone leaves this node's region. False for a zone that is not
+     * known, and when there is only one region.
+     */
     bool leavesRegion(const ZoneName& zone) const;
 
     void add(TrafficPurpose purpose, TrafficDirection direction, std::size_t bytes);
 
     std::uint64_t bytes(TrafficPurpose purpose, TrafficDirection direction) const;
 
-    /** @return all bytes of both directions. */
+    /** @return the sum of all bytes in both directions. */
     std::uint64_t total() const;
 
 private:
--- a/src/locality/RegionWatch.h
+++ b/src/locality/RegionWatch.h
@@ -1,4 +1,4 @@
-/** What connections tell of exchanges with other regions. */
+/** Measurements of the exchanges with other regions. */
 #pragma once
 
 #include "locality/BackgroundShare.h"
@@ -7,7 +7,8 @@
 
 namespace coralhoist::locality {
 
-/** Fed by the connections of a node of an estate with several regions; others have none. */
+/** Fed by the connections of a node in an estate with several regions; in other estates there is
+ * none. */
 struct RegionWatch {
     RegionWatch(const RegionMap& regions, const ZoneName& zone)
         : traffic(regions, zone), distances(regions, zone), background(traffic) {}
--- a/src/placement/EvacuationPolicy.cpp
+++ b/src/placement/EvacuationPolicy.cpp
@@ -10,8 +10,8 @@
 using pooling::PlacementVerdict;
 
 constexpr const char* kReason = "zone_evacuated";
-/** A planned handover is over by then, counted from when one could begin: claim, survey, catching
- * up and the call of the promotion. */
+/** Upper bound of a planned handover, counted from when one could begin: claiming it, surveying the
+ * replicas, catching up and calling the promotion. */
 constexpr Duration kHandover = std::chrono::milliseconds(2000);
 
 }  // namespace
@@ -76,7 +76,7 @@
                               : PlacementVerdict::forbidden(kReason);
 }
 
-/** A transaction that can still end in time may: only a closed zone ends it. */
+/** A transaction that can still end in time may go on: only the closing of the zone ends it. */
 PlacementVerdict EvacuationPolicy::mayContinue(const pooling::PlacedUnit& /*unit*/,
                                                const pooling::PlacedServer& server) {
     return isClosed(server) ? PlacementVerdict::forbidden(kReason) : PlacementVerdict::allowed();
--- a/src/placement/EvacuationPolicy.h
+++ b/src/placement/EvacuationPolicy.h
@@ -13,18 +13,19 @@
 
 namespace coralhoist::placement {
 
-/** What callers' statements did since the zone was evacuated last. */
+/** Callers' statements that were sent to a zone since its latest evacuation began. */
 struct EvacuatedTraffic {
-    /** Sent to servers of the zone all the same, while it was being left. */
+    /** Number of statements that were sent to servers of the zone while it was being evacuated. */
     std::uint64_t sent = 0;
     TimePoint lastSentAt{};
 };
 
 /**
- * While a zone is left, reads go elsewhere where another server of the group stands outside all
- * evacuated zones; what only a primary in the zone can run is still sent there, and transactions go
- * on. Once it is closed, nothing is sent there: what only a primary there can run waits for its
- * handover, for as long as one takes, and is refused at once where there is none to expect.
+ * While a zone is being evacuated, reads go elsewhere if the group has another server outside all
+ * evacuated zones. Statements that only a primary in the zone can run are still sent there, and
+ * transactions go on. Once the zone is closed, nothing is sent there: statements that only a
+ * primary there can run are deferred until its handover, for as long as a handover takes, and are
+ * refused at once where none is expected.
  */
 class EvacuationPolicy final : public pooling::PlacementPolicy, public failover::PrimaryPlacement {
 public:
@@ -39,7 +40,7 @@
                                        const pooling::PlacedServer& server) override;
     pooling::PlacementVerdict mayContinue(const pooling::PlacedUnit& unit,
                                           const pooling::PlacedServer& server) override;
-    /** Only servers leave the zone: its nodes may execute. */
+    /** Only servers leave the zone: its nodes may go on executing statements. */
     bool isClosed(const pooling::PlacedServer& server) override;
     bool mayForwardTo(const pooling::PlacedUnit& /*unit*/, const ZoneName& /*zone*/) override {
         return true;
@@ -52,18 +53,21 @@
                       const pooling::ServerAnnouncement& server) const override;
     bool mayMovePrimaries() const override { return !_zones.zones().empty(); }
 
-    /** @return traffic of the zone since its evacuation began. */
+    /** @return the traffic to the zone since its evacuation began. */
     EvacuatedTraffic trafficOf(const ZoneName& zone) const;
-    /** The zone is evacuated anew: its traffic is counted from here. */
+    /** Resets the zone's traffic counters, because a new evacuation of it begins. */
     void resetTraffic(const ZoneName& zone) { _traffic.erase(zone); }
-    /** @return statements that were sent outside, of groups with servers in evacuated zones. */
+    /**
+     * @return the number of statements of groups with servers in evacuated zones that were sent to
+     * servers elsewhere.
+     */
     std::uint64_t sentElsewhere() const { return _sentElsewhere; }
 
 private:
     /** The servers of a group that may take work. */
     struct GroupServers {
         std::map<ServerName, ZoneName> zones;
-        /** When one of them was listed last that had not been. */
+        /** When a server that had not been listed before last appeared. */
         TimePoint joinedAt{};
     };
 
--- a/src/placement/EvacuationProgress.cpp
+++ b/src/placement/EvacuationProgress.cpp
@@ -8,7 +8,7 @@
 namespace coralhoist::placement {
 namespace {
 
-/** While a zone is not empty, it is looked at this often. */
+/** Interval at which a zone is checked while it is not empty. */
 constexpr Duration kLook = std::chrono::milliseconds(100);
 
 auto milliseconds(Duration span) {
@@ -27,7 +27,7 @@
         _seenChanges = _zones.changes();
         return false;
     }
-    // A zone that was given back and evacuated again has ended and begun.
+    // A zone that was released and evacuated again counts as one evacuation ended and one begun.
     const bool ended = tellEnded(now);
     const bool begun = tellBegun(now);
     _seenChanges = _zones.changes();
--- a/src/placement/EvacuationProgress.h
+++ b/src/placement/EvacuationProgress.h
@@ -1,4 +1,4 @@
-/** What an operator sees of evacuations, and when verdicts change by time alone. */
+/** Reports evacuations to operators, and determines when verdicts change by time alone. */
 #pragma once
 
 #include <functional>
@@ -14,38 +14,39 @@
 
 /** Gauges of an evacuated zone. */
 struct EvacuationGauge {
-    /** Statements of this node that are not answered yet, transactions open there, and groups whose
-     * primary stands there. */
+    /** Statements of this node that are not answered yet, open transactions in the zone, and groups
+     * whose primary is in the zone. */
     pooling::ZoneLoad load;
-    /** Statements sent there since its evacuation began. */
+    /** Statements sent to the zone since its evacuation began. */
     std::uint64_t sent = 0;
     bool closed = false;
 };
 
 /**
- * Logs for each evacuation one line when it begins, closes, is empty for the first time, and ends.
- * A zone is empty when this node has nothing there any more and knows no primary there.
+ * Logs one line per evacuation when it begins, closes, is empty for the first time, and ends. A
+ * zone is empty when this node has no statement or transaction there any more and knows of no
+ * primary there.
  */
 class EvacuationProgress {
 public:
     using Loads = std::map<ZoneName, pooling::ZoneLoad>;
 
-    /** @param loads what this node has in each zone now. References outlive the progress. */
+    /** @param loads returns the load of this node in each zone. References outlive the progress. */
     EvacuationProgress(const locality::EvacuatedZones& zones, EvacuationPolicy& policy,
                        std::function<Loads()> loads)
         : _zones(zones), _policy(policy), _loads(std::move(loads)) {}
 
-    /** @return whether a zone was evacuated, closed or given back since the last call. */
+    /** @return whether an evacuation began, closed its zone or ended since the last call. */
     bool advance(TimePoint now);
 
     /** @return when advance must be called next. */
     std::optional<TimePoint> nextTick() const;
 
-    /** @return all evacuated zones as they stand. */
+    /** @return the present gauges of all evacuated zones. */
     std::map<ZoneName, EvacuationGauge> gauges(TimePoint now) const;
 
 private:
-    /** What has been told of an evacuation. */
+    /** The state of an evacuation that has been logged. */
     struct Told {
         locality::Evacuation evacuation;
         bool closed = false;
--- a/src/placement/HomePolicy.cpp
+++ b/src/placement/HomePolicy.cpp
@@ -16,12 +16,12 @@
 using pooling::PlacedUnit;
 using pooling::PlacementVerdict;
 
-/** A planned change of a primary is expected to take so long: its survey, the catching up of the
- * successor and the promotion. */
+/** Expected duration of a planned change of a primary: its survey, the catching up of the successor
+ * and the promotion. */
 constexpr Duration kMoveTakes = std::chrono::milliseconds(2500);
-/** A primary that still stands outside after so long is not waited for. */
+/** Maximum time for which statements are deferred for a primary that stays outside the homes. */
 constexpr Duration kMovePatience = std::chrono::milliseconds(5000);
-/** A change that is overdue is expected any moment. */
+/** Expected time until a change of primary that is overdue. */
 constexpr Duration kMoveOverdue = std::chrono::milliseconds(100);
 
 constexpr const char* kDisjoint = "home_regions_disjoint";
@@ -39,7 +39,7 @@
     return joined;
 }
 
-/** Adds the regions of all bonds. */
+/** Adds the home regions of all entries. */
 template <typename Name>
 void gather(const std::map<Name, HomeRegions>& bonds, std::set<RegionName>& regions) {
     for (const auto& [name, homes] : bonds) {
@@ -161,7 +161,7 @@
     return PlacementVerdict::allowed();
 }
 
-/** A transaction does not wait for another primary: it could not go on there. */
+/** A transaction does not wait for another primary, because it could not go on there. */
 PlacementVerdict HomePolicy::mayContinue(const PlacedUnit& unit, const PlacedServer& server) {
     if (allows(unit, server.zone)) {
         return PlacementVerdict::allowed();
@@ -176,7 +176,7 @@
     return allowed;
 }
 
-/** Logs leave the machine for places that are not known here. */
+/** Logs leave the machine for locations that are not known here. */
 bool HomePolicy::mayLogAnswers(const PlacedUnit& unit) {
     return !_services.contains(unit.service) && !_tenants.contains(unit.tenant);
 }
@@ -199,7 +199,10 @@
                       : PlacementVerdict::forbidden(kPrimaryOutside);
 }
 
-/** @return expected time until the primary stands where the unit may go; none: it won't. */
+/**
+ * @return the expected time until the primary is where the unit may go; none if that is not
+ * expected.
+ */
 std::optional<Duration> HomePolicy::moveExpectedIn(const PlacedUnit& unit,
                                                    const PlacedServer& primary,
                                                    const HomeRegions& homes) {
@@ -236,7 +239,7 @@
                                        : failover::LeadSuitability::Preferred;
 }
 
-/** Services of one group whose homes have no region in common want no place more than another. */
+/** Services of one group whose homes have no region in common prefer no region over another. */
 bool HomePolicy::mustHandOver(const GroupName& group,
                               const pooling::ServerAnnouncement& server) const {
     const auto found = _groups.find(group);
--- a/src/placement/HomePolicy.h
+++ b/src/placement/HomePolicy.h
@@ -17,39 +17,41 @@
 
 namespace coralhoist::placement {
 
-/** What an operator sees of the policy. */
+/** Statistics of the policy for operators. */
 struct HomeStatistics {
     std::size_t services = 0; /**< Services with homes. */
     std::size_t tenants = 0;  /**< Tenants with homes. */
     /** Groups whose services have homes, but none in common. */
     std::size_t groupsInDispute = 0;
-    /** Groups with a primary outside the homes of their services, as announced. */
+    /** Groups with an announced primary outside the homes of their services. */
     std::size_t groupsLedOutside = 0;
-    /** Times that a bound unit was kept from a server, and from another node. */
+    /** How often a server, and another node, was ruled out for a unit with homes. */
     std::uint64_t serversRuledOut = 0;
     std::uint64_t nodesRuledOut = 0;
 };
 
 /**
- * Where a service and a tenant both have homes, both bind. The node that a caller came to sees its
- * statements whatever its region; any other node has to stand in a home, also where the caller is
- * near: which region a caller is in is not known, as connections may be passed on between zones.
+ * Where a service and a tenant both have homes, both sets apply. The node that a caller is
+ * connected to processes the caller's statements whatever its own region; any other node must be in
+ * a home, even if the caller is near it: the caller's region is not known, as connections may be
+ * passed on between zones.
  *
- * A group leads from a home that all its bound services have in common. While its primary is
- * elsewhere and a server could take over, what needs the primary is put off for as long as a
- * planned change takes; after that it is refused at once.
+ * A group's primary must be in a home that all its services with homes have in common. While the
+ * primary is elsewhere and a server could take over, statements that need the primary are deferred
+ * for as long as a planned change takes; after that they are refused at once.
  */
 class HomePolicy final : public pooling::PlacementPolicy, public failover::PrimaryPlacement {
 public:
-    /** The servers of a group as they are announced. */
+    /** Returns the announced servers of a group. */
     using ServersOf = std::function<const pooling::ServerDirectory::Servers&(const GroupName&)>;
 
     /** @param clock outlives the policy. */
     HomePolicy(const Clock& clock, locality::RegionMap regions, ServersOf serversOf);
 
     /**
-     * Takes the homes of one version of the settings, before anything else acts on that version.
-     * @return whether any have changed.
+     * Takes the homes from one version of the settings; must be called before anything else acts on
+     * that version.
+     * @return whether any homes have changed.
      */
     bool apply(const pooling::ServiceCatalog& catalog, const tenancy::TenantDirectory& tenants);
 
@@ -74,7 +76,7 @@
     bool mayMovePrimaries() const override { return !_groups.empty(); }
 
 private:
-    /** A primary that has been found to stand outside the homes of its group. */
+    /** A primary that was found outside the homes of its group. */
     struct OutsidePrimary {
         ServerName server;
         TimePoint since;
@@ -94,10 +96,10 @@
     const Clock& _clock;
     locality::RegionMap _regions;
     ServersOf _serversOf;
-    /** Those that have homes alone. */
+    /** Only services and tenants that have homes. */
     std::map<ServiceName, locality::HomeRegions> _services;
     std::map<TenantName, locality::HomeRegions> _tenants;
-    /** What the services of a group that have homes have in common. */
+    /** The homes that all services with homes of a group have in common. */
     std::map<GroupName, locality::HomeRegions> _groups;
     std::map<GroupName, OutsidePrimary> _outside;
     std::uint64_t _serversRuledOut = 0;
--- a/src/placement/PolicyChain.cpp
+++ b/src/placement/PolicyChain.cpp
@@ -19,8 +19,8 @@
 
 }  // namespace
 
-/** What one policy forbids is asked of none after it: one that grants from a rate would use it up.
- */
+/** Once a policy forbids a unit, the policies after it are not consulted: a policy that grants
+ * units of a rate would use them up. */
 template <typename Ask>
 PlacementVerdict PolicyChain::strictest(const Ask& ask) const {
     PlacementVerdict verdict;
--- a/src/placement/PolicyChain.h
+++ b/src/placement/PolicyChain.h
@@ -1,4 +1,4 @@
-/** All policies of a node as one. */
+/** Combines all placement policies of a node into one. */
 #pragma once
 
 #include <cstddef>
@@ -9,17 +9,16 @@
 
 namespace coralhoist::placement {
 
-/**
- * The strictest verdict of all policies counts; of several that defer, the longest wait. Without a
- * policy everything is allowed, and every server suits.
- */
+/** The strictest verdict of all policies applies; of several that defer, the longest wait. Without
+ * a policy everything is allowed, and every server is suitable. */
 class PolicyChain final : public pooling::PlacementPolicy, public failover::PrimaryPlacement {
 public:
     /** @param policy outlives the chain. */
     void add(pooling::PlacementPolicy& policy) {
         _policies.insert(_policies.end() - _askedLast, &policy);
     }
-    /** The policy is asked after all others, and for nothing that one of them forbids. */
+    /** Adds a policy that is consulted after all others, and not for units that one of them
+     * forbids. */
     void addLast(pooling::PlacementPolicy& policy) {
         _policies.push_back(&policy);
         ++_askedLast;
@@ -51,7 +50,7 @@
     pooling::PlacementVerdict strictest(const Ask& ask) const;
 
     std::vector<pooling::PlacementPolicy*> _policies;
-    /** So many at the end were added as last. */
+    /** Number of policies at the end of the list that were added with `addLast`. */
     std::ptrdiff_t _askedLast = 0;
     std::vector<failover::PrimaryPlacement*> _placements;
 };
--- a/src/placement/QuotaRequestUnits.cpp
+++ b/src/placement/QuotaRequestUnits.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr const char* kPrefix = "/cold/";
-/** An answer of the leader usually comes within this time. */
+/** The leader usually answers within this time. */
 constexpr Duration kAnswerExpectedIn = std::chrono::milliseconds(20);
 
 TenantName quotaOf(const GroupName& group, const ServerName& server) {
--- a/src/placement/QuotaRequestUnits.h
+++ b/src/placement/QuotaRequestUnits.h
@@ -1,4 +1,4 @@
-/** Requests to cold servers as units of quotas that all nodes share. */
+/** Counts requests to cold servers as units of quotas that all nodes share. */
 #pragma once
 
 #include <memory>
@@ -9,29 +9,31 @@
 
 namespace coralhoist::placement {
 
-/** How far a cold server's rate may be exceeded in any second: rate x overrun + slack. */
+/** The limit on requests to a cold server in any second: rate x overrun + slack. */
 struct WarmupBound {
     double overrun = 1;
     std::uint32_t slack = 0;
 
-    /** @return the most requests that a server of the rate gets in any second. */
+    /** @return the most requests that a server with this rate gets in any second. */
     std::uint32_t most(double requestsPerSecond) const;
 
     bool operator==(const WarmupBound&) const = default;
 };
 
 /**
- * Each server that may be cold has a quota in the exchange, under a name that no tenant should
- * have. It is one for all lives of the server, so that one that starts again twice within a second
- * stays within the bound.
+ * Each server that may be cold has a quota in the quota exchange, under a name that no tenant
+ * should have. All incarnations of the server share that quota, so that a server that restarts
+ * twice within a second stays within the bound.
  */
 class QuotaRequestUnits final : public warmup::RequestUnits {
 public:
     /** @param quotas outlives this. */
     explicit QuotaRequestUnits(tenancy::QuotaExchange& quotas) : _quotas(quotas) {}
 
-    /** @return the tenants, and the quotas of all servers that may be cold. The tenants themselves
-     * where no group's servers start cold. */
+    /**
+     * @return the tenants, and the quotas of all servers that may be cold. The same directory where
+     * no group's servers start cold.
+     */
     static std::shared_ptr<const tenancy::TenantDirectory> quotasOf(
         const std::shared_ptr<const tenancy::TenantDirectory>& tenants,
         const warmup::ColdServers& servers, const WarmupBound& bound);
--- a/src/placement/RegionUse.h
+++ b/src/placement/RegionUse.h
@@ -1,4 +1,4 @@
-/** How often statements stay in the region of the node that executes them. */
+/** Counts how often statements stay in the region of the node that executes them. */
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace coralhoist::placement {
 
-/** Restricts nothing; counts where statements are sent. */
+/** Restricts nothing; counts statements by the region that they are sent to. */
 class RegionUse final : public pooling::PlacementPolicy {
 public:
     RegionUse(const locality::RegionMap& regions, const ZoneName& zone)
--- a/src/placement/RegionalPrimary.h
+++ b/src/placement/RegionalPrimary.h
@@ -1,4 +1,4 @@
-/** Primaries stand where a commit needs not cross between regions. */
+/** Prefers primaries whose commits need not cross between regions. */
 #pragma once
 
 #include <functional>
@@ -10,17 +10,18 @@
 namespace coralhoist::placement {
 
 /**
- * A commit is answered when one replica has it, so that a primary whose replicas all stand in other
- * regions adds a round trip to each commit, and the log crosses once for each of them. Of equals
- * the successor is one that has a replica in its own region.
+ * A commit is answered when one replica has it. A primary whose replicas are all in other regions
+ * therefore adds a round trip between regions to each commit, and the log crosses between regions
+ * once per replica. Among otherwise equal candidates the successor is one that has a replica in its
+ * own region.
  *
- * A primary that leads without one stays: a planned move refuses the group's writes for the time of
- * a promotion, and a commit that takes a round trip longer is still one in time.
+ * A primary without such a replica is not moved: a planned move refuses the group's writes for the
+ * duration of a promotion, while a commit that takes one round trip longer is still in time.
  */
 class RegionalPrimary final : public failover::PrimaryPlacement {
 public:
     using Servers = pooling::ServerDirectory::Servers;
-    /** @return all servers of the group as they are listed now. */
+    /** Returns all servers of the group that are listed at present. */
     using ServersOf = std::function<const Servers&(const GroupName&)>;
 
     RegionalPrimary(const locality::RegionMap& regions, ServersOf serversOf)
--- a/src/placement/WarmupPolicy.cpp
+++ b/src/placement/WarmupPolicy.cpp
@@ -10,16 +10,18 @@
 using pooling::PlacementVerdict;
 
 constexpr const char* kReason = "cold_server";
-/** BEGIN and the next statement. */
+/** One unit for BEGIN and one for the next statement. */
 constexpr std::uint32_t kUnitsToBeginTransaction = 2;
-/** Statements of open transactions go first: what they hold waits for them. */
+/** Statements of open transactions go first, because other statements wait for the locks that these
+ * transactions hold. */
 constexpr std::uint32_t kFirstRank = 0;
-/** Verdicts are reviewed no more often. */
+/** Minimum interval between two reviews of the verdicts. */
 constexpr Duration kShortestReview = std::chrono::milliseconds(5);
 
 constexpr Duration kWithoutUnitLogEvery = std::chrono::seconds(1);
 
-/** A primary that is cold for less is left where it is: writes wait while it moves. */
+/** A primary that stays cold for less than this is not replaced, because writes wait during the
+ * move. */
 constexpr Duration kWorthMoving = std::chrono::seconds(2);
 
 }  // namespace
@@ -72,7 +74,7 @@
     }
 }
 
-/** Each is counted; not each is logged. */
+/** Counts every statement, but limits the rate of log lines. */
 void WarmupPolicy::logWithoutUnit(const pooling::PlacedUnit& unit,
                                   const pooling::PlacedServer& server) {
     const TimePoint now = _clock.now();
--- a/src/placement/WarmupPolicy.h
+++ b/src/placement/WarmupPolicy.h
@@ -1,4 +1,4 @@
-/** Keeps what goes to servers that are cold after their start within the rate that they take. */
+/** Limits the requests to servers that are cold after their start to the rate that they accept. */
 #pragma once
 
 #include <cstdint>
@@ -12,26 +12,28 @@
 
 namespace coralhoist::placement {
 
-/** Counters, for metrics. */
+/** Counters for metrics. */
 struct WarmupStatistics {
-    /** Callers' statements and beginnings of transactions that went to a cold server. */
+    /** Callers' statements and beginnings of transactions that were sent to a cold server. */
     std::uint64_t sent = 0;
-    /** Times that one had to wait, or to go elsewhere. */
+    /** How often a statement had to wait, and how often it had to go elsewhere. */
     std::uint64_t deferred = 0;
     std::uint64_t turnedAway = 0;
-    /** Statements that went there without a unit: the process stood still meanwhile. */
+    /** Statements that were sent without a unit, because the process was suspended between the
+     * verdict and the sending. */
     std::uint64_t withoutUnit = 0;
 };
 
 /**
- * A cold server gets nothing while another one can do the work: reads go to warm servers of the
- * group, and to cold replicas before a cold primary. What only a cold server can run needs a unit
- * of its rate for each statement; a transaction begins only where its next statement has one, too,
- * and goes before what begins. A cold server leads a group where no warm one can, and hands over
- * where its entry says that it stays cold for longer than that takes.
+ * A cold server gets no work while another server can do it: reads go to warm servers of the group,
+ * and to cold replicas before a cold primary. A statement that only a cold server can run needs a
+ * unit of that server's rate. A transaction begins only when there is a unit for its next statement
+ * as well; its statements go before transactions and statements that have yet to begin. A cold
+ * server becomes primary only where no warm one can, and hands over if its entry says that it stays
+ * cold for longer than a handover takes.
  *
- * Invariant: while a server is cold, `noteSent` follows an allowed verdict only where a unit was at
- * hand, and takes it.
+ * Invariant: while a server is cold, `noteSent` follows an allowed verdict only if a unit was
+ * available, and consumes that unit.
  */
 class WarmupPolicy final : public pooling::PlacementPolicy, public failover::PrimaryPlacement {
 public:
@@ -43,7 +45,7 @@
                                        const pooling::PlacedServer& server) override;
     pooling::PlacementVerdict mayContinue(const pooling::PlacedUnit& unit,
                                           const pooling::PlacedServer& server) override;
-    /** A transaction that rests sends nothing and needs no unit. */
+    /** A transaction that is idle sends nothing and needs no unit. */
     pooling::PlacementVerdict mayRest(const pooling::PlacedUnit& /*unit*/,
                                       const pooling::PlacedServer& /*server*/) override {
         return pooling::PlacementVerdict::allowed();
@@ -62,11 +64,12 @@
                       const pooling::ServerAnnouncement& server) const override;
     bool mayMovePrimaries() const override { return !_servers.groups().empty(); }
 
-    /** @return when verdicts may have changed; `StatementPooler::reviewPlacement` is called then.
+    /**
+     * @return when verdicts may change; `StatementPooler::reviewPlacement` is to be called then.
      */
     TimePoint nextReview() const;
 
-    /** The verdicts are reviewed. */
+    /** Records that the verdicts are being reviewed. */
     void onReview() { _reviewAt = TimePoint::max(); }
 
     const WarmupStatistics& statistics() const { return _statistics; }
--- a/src/placement/ZoneEvacuation.h
+++ b/src/placement/ZoneEvacuation.h
@@ -1,4 +1,4 @@
-/** The evacuations of one node: what is known of them, what they rule out, what is told of them. */
+/** Bundles the state, the placement policy and the reporting of a node's evacuations. */
 #pragma once
 
 #include <functional>
@@ -8,7 +8,7 @@
 
 namespace coralhoist::placement {
 
-/** Made where the platform keeps evacuations. */
+/** Created where the platform stores evacuations. */
 struct ZoneEvacuation {
     /** @param loads see EvacuationProgress. */
     ZoneEvacuation(const Clock& clock, Duration bound,
--- a/src/warmup/ColdServers.cpp
+++ b/src/warmup/ColdServers.cpp
@@ -8,7 +8,7 @@
 namespace coralhoist::warmup {
 namespace {
 
-/** @return what is known of the server, or null. */
+/** @return the record of the server, or null. */
 template <typename Groups>
 auto findIn(Groups& groups, const GroupName& group, const ServerName& server)
     -> decltype(&groups.begin()->second.begin()->second) {
--- a/src/warmup/ColdServers.h
+++ b/src/warmup/ColdServers.h
@@ -1,4 +1,4 @@
-/** Which servers are cold after their start, and until when. */
+/** Tracks which servers are cold after their start, and until when. */
 #pragma once
 
 #include <cstdint>
@@ -12,9 +12,9 @@
 
 namespace coralhoist::warmup {
 
-/** What the settings say of a group's servers after their start. */
+/** The settings for a group's servers after their start. */
 struct WarmupTerms {
-    /** Requests that a cold server takes in a second; 0: as many as at other times. */
+    /** Requests that a cold server accepts in a second; 0: no limit beyond the usual one. */
     double requestsPerSecond = 0;
     /** Time for which a server is cold after its start. */
     Duration coldStart{0};
@@ -23,48 +23,53 @@
 };
 
 /**
- * Takes servers' entries and what connections show. The time that an entry tells is counted from
- * when that version of it was heard, which is never too short: the entry has an age by then. A
- * newer version replaces what an older one said, whether it says less or more.
+ * Takes servers' directory entries and the state of connections to them. The time for which an
+ * entry declares a server cold is counted from when that version of the entry was received. This is
+ * never too short, because the entry has an age by then. A newer version replaces an older one,
+ * whether it declares a shorter or a longer time.
  *
- * A server of which no connection of this node stands any more may have started again, under its
- * name, without its entry having been heard; it counts as cold until an entry of a newer version
- * is, or, once it can be reached again, for a whole cold start.
+ * A server to which this node has no connection left may have restarted under its name without its
+ * new entry having been received. It counts as cold until an entry of a newer version is received
+ * or, once the server can be reached again, for a whole cold start.
  */
 class ColdServers {
 public:
     using Groups = std::map<GroupName, WarmupTerms>;
 
-    /** Takes the groups whose servers start cold; of others no server is cold. */
+    /** Takes the groups whose servers start cold; in other groups no server is cold. */
     void applyGroups(Groups groups, TimePoint now);
 
-    /** The servers of a group have been heard. */
+    /** Takes the entries of a group's servers that have been received. */
     void applyServers(const GroupName& group, const pooling::ServerDirectory::Servers& servers,
                       TimePoint now);
 
-    /** The last connection to the server was lost, or none could be opened. */
+    /** Records that the last connection to the server was lost, or that none could be opened. */
     void noteLost(const GroupName& group, const ServerName& server, TimePoint now);
 
-    /** A connection to the server was opened. */
+    /** Records that a connection to the server was opened. */
     void noteOpened(const GroupName& group, const ServerName& server, TimePoint now);
 
     bool isCold(const GroupName& group, const ServerName& server, TimePoint now) const;
 
-    /** @return until when the server's own entry says that it is cold; a time in the past where it
-     * does not. */
+    /**
+     * @return until when the server's own entry declares it cold; a time in the past where it does
+     * not.
+     */
     TimePoint toldUntil(const GroupName& group, const ServerName& server) const;
 
     /** @return whether a server of the group takes work and is warm. */
     bool hasWarm(const GroupName& group, TimePoint now) const;
 
-    /** @return servers of the group that take work. */
+    /** @return the number of servers of the group that take work. */
     std::size_t servingCount(const GroupName& group) const;
 
-    /** @return servers that are cold now, of all groups. */
+    /** @return the number of servers of all groups that are cold now. */
     std::size_t coldCount(TimePoint now) const;
 
-    /** @return when the first of the servers that are cold becomes warm, or has become so without
-     * `takeWarmed` having told it; max for none. */
+    /**
+     * @return when the first of the cold servers becomes warm, or became warm without having been
+     * returned by `takeWarmed`; max for none.
+     */
     TimePoint nextWarm() const;
 
     /** One server of a group. */
@@ -79,19 +84,20 @@
     /** @return the groups whose servers start cold. */
     const Groups& groups() const { return _groups; }
 
-    /** @return servers of a group that are listed now, by name. */
+    /** @return the names of the group's servers that are listed now. */
     std::vector<ServerName> listed(const GroupName& group) const;
 
 private:
     struct Known {
         StoreVersion version;
-        /** By its entry, and by a connection after all were lost. */
+        /** The end of the cold time by the server's entry, and by a connection opened after all
+         * were lost. */
         TimePoint toldUntil{};
         TimePoint suspectedUntil{};
         bool serves = false;
-        /** No connection of this node stands: it may have started again. */
+        /** This node has no connection to the server: it may have restarted. */
         bool mayHaveRestarted = false;
-        /** It was cold, and that it is warm has not been told. */
+        /** The server was cold, and `takeWarmed` has not returned it as warm yet. */
         bool isWarming = false;
     };
 
--- a/src/warmup/RequestUnits.h
+++ b/src/warmup/RequestUnits.h
@@ -1,4 +1,4 @@
-/** The few requests that a cold server takes from all nodes together, as one node gets them. */
+/** This node's part of the limited request rate of a cold server. */
 #pragma once
 
 #include <cstdint>
@@ -10,32 +10,30 @@
 
 /** Requests that are to be sent. */
 struct RequestWish {
-    /** So many must be at hand. */
+    /** Number of units that must be available. */
     std::uint32_t count = 1;
-    /** Rank of their service; lower ones go first. */
+    /** Rank of the requests' service; lower ranks go first. */
     std::uint32_t rank = 0;
 };
 
-/** Whether they may be sent. */
+/** Whether the requests may be sent. */
 struct RequestProspect {
     bool isAtHand = false;
-    /** Else: expected time until they may be. */
+    /** If they may not be sent: expected time until they may. */
     Duration expectedIn{0};
 };
 
-/**
- * Leased parts of a rate that all nodes keep together. What this node holds ends by itself; who
- * holds nothing sends nothing. No method blocks.
- */
+/** Leased parts of a rate limit that all nodes together observe. The units that a node holds expire
+ * by themselves; a node without units sends nothing. No method blocks. */
 class RequestUnits {
 public:
     virtual ~RequestUnits() = default;
 
-    /** Asks for units if too few are at hand. @return whether they are. */
+    /** Requests units if too few are available. @return whether enough are available. */
     virtual RequestProspect look(const GroupName& group, const ServerName& server,
                                  const RequestWish& wish) = 0;
 
-    /** Uses one unit, for a request that is sent now. @return whether there was one. */
+    /** Consumes one unit for a request that is sent now. @return whether there was one. */
     virtual bool take(const GroupName& group, const ServerName& server) = 0;
 };
 
