--- a/src/admission/AdmissionPolicy.cpp
+++ b/src/admission/AdmissionPolicy.cpp
@@ -5,8 +5,8 @@
 namespace coralhoist::admission {
 namespace {
 
-/** Time between two looks: a refusal this much later is still one at once for a caller, and a look
- * costs as much as a choice of server for all that wait. */
+/** Interval between two reviews of the queue. To a caller, a refusal that comes this much later is
+ * still immediate; a review costs as much as choosing a server for every queued statement. */
 constexpr Duration kLookEvery = std::chrono::milliseconds(10);
 /** A review older than this says nothing about the wait of a new statement. */
 constexpr Duration kLookTellsFor = std::chrono::milliseconds(150);
--- a/src/admission/WaitForecast.cpp
+++ b/src/admission/WaitForecast.cpp
@@ -15,7 +15,7 @@
 /** When two reviews are further apart than this, no statement is assumed to have waited throughout.
  */
 constexpr Duration kLongestGap = std::chrono::milliseconds(150);
-/** A lane that was observed for less than this yields no forecast and is removed. */
+/** An observation shorter than this says nothing about waits and is removed. */
 constexpr Duration kForgotten = std::chrono::milliseconds(2);
 
 }  // namespace
--- a/tests/admission/AdmissionPolicyTest.cpp
+++ b/tests/admission/AdmissionPolicyTest.cpp
@@ -34,7 +34,8 @@
         }
         return applicants;
     }
-    /** So many wait for this time with endless patience, of which one starts at each look. */
+    /** Keeps this many statements without a deadline queued for the span; one starts at each
+     * review. */
     void watch(Duration span, std::size_t waiting, bool starting = true) {
         for (Duration watched(0); watched < span; watched += kLook) {
             CHECK_TRUE(policy.look(clock.now(), manyLate(waiting, std::chrono::hours(1))).empty());
@@ -44,7 +45,7 @@
             clock.advance(kLook);
         }
     }
-    /** A primary is missing for this time, and things run well for as long. */
+    /** The primary is missing for the span; after it nothing is blocked for as long. */
     void loseThePrimary(Duration span) {
         for (Duration lost(0); lost < span; lost += kLook) {
             policy.look(clock.now(), {hindered(1, std::chrono::hours(1))});
@@ -69,7 +70,7 @@
     const std::vector<ForecastRefusal> refusals =
         policy.look(clock.now(), manyLate(100, milliseconds(250)));
     CHECK_FALSE(refusals.empty());
-    // Those ahead start, one each 10 ms, and wait.
+    // The statements ahead, of which one starts every 10 ms, stay queued.
     CHECK_TRUE(refusals.front().session > SessionId(25));
     CHECK_TRUE(refusals.front().forecast > milliseconds(250));
     CHECK_TRUE(refusals.front().retryAfter >= refusals.front().forecast);
@@ -77,7 +78,7 @@
 
 TEST(AdmissionPolicy, AForecastWrongByAFactorOfTwoRefusesNobodyWhoWouldHaveBeenServed) {
     watch(milliseconds(1000), 100);
-    // From here on two start where one did.
+    // From here on two statements start in the time of one.
     const std::vector<ForecastRefusal> refusals =
         policy.look(clock.now(), manyLate(100, milliseconds(250)));
     CHECK_TRUE(refusals.front().session > SessionId(50));
@@ -136,7 +137,8 @@
     CHECK_TRUE(policy.look(clock.now(), {hindered(1, milliseconds(1))}).empty());
 }
 
-/** Nobody looks while nothing waits: what hinders again after that is another obstacle. */
+/** No review takes place while the queue is empty: a block that is seen after such a pause counts
+ * as a new obstacle. */
 TEST(AdmissionPolicy, ObstaclesWithACalmTimeBetweenThemAreNotOne) {
     for (int proof = 0; proof < 8; ++proof) {
         CHECK_TRUE(policy.look(clock.now(), {hindered(1, milliseconds(500))}).empty());
--- a/tests/admission/FairSharesTest.cpp
+++ b/tests/admission/FairSharesTest.cpp
@@ -40,7 +40,7 @@
     for (const std::uint64_t number : {4, 5, 6, 7}) {
         add("short", number, milliseconds(50));
     }
-    // Two short ones for each long one.
+    // Two short statements for each long one.
     checkOrder({4, 1, 5, 6, 2, 7, 3});
 }
 
@@ -64,7 +64,8 @@
     shares.charge("a", milliseconds(50));
     add("b", 2, milliseconds(50));
     add("b", 3, milliseconds(50));
-    // "a" was served until 450 ms; "b" begins at 400 ms, where the last statement began.
+    // Flow "a" was served until 450 ms; "b" starts at 400 ms, the start of the last placed
+    // statement.
     checkOrder({2, 1, 3});
 }
 
@@ -76,7 +77,7 @@
     for (int turn = 0; turn < 20; ++turn) {
         shares.charge("other", milliseconds(50));
     }
-    // 100 ms in advance of a virtual time of 950 ms: 850, 950, 1050 against 1000.
+    // The credit is 100 ms before the virtual time of 950 ms: 850, 950, 1050 against 1000.
     checkOrder({1, 2, 4, 3});
 }
 
--- a/tests/admission/LoadOnQueue.cpp
+++ b/tests/admission/LoadOnQueue.cpp
@@ -44,7 +44,7 @@
 }
 
 void LoadOnQueue::refuseLate() {
-    // Sessions are numbered as they arrive.
+    // Sessions are numbered in order of arrival.
     while (!_waiting.empty() && _clock.now() - _waiting.begin()->second.arrivedAt >= kHeldFor) {
         const Caller& caller = _waiting.begin()->second;
         _outcomes[caller.source->name].longestWait = kHeldFor;
--- a/tests/admission/LoadOnQueue.h
+++ b/tests/admission/LoadOnQueue.h
@@ -1,4 +1,5 @@
-/** Plays what many callers send against a queue and a number of slots, and counts what they get. */
+/** Simulates callers that send statements to a queue with a number of slots, and counts the
+ * results. */
 #pragma once
 
 #include <cstdint>
@@ -20,15 +21,15 @@
     Duration slotTime{0};
     /** Flow of its statements; empty for none. */
     std::string flow{};
-    /** Not 0: it comes over so many flows, whose names begin with `flow`. */
+    /** If not 0, its statements are spread over this many flows, whose names begin with `flow`. */
     std::uint32_t flows = 0;
 };
 
-/** What the callers of one source got. */
+/** Results of one source's statements. */
 struct Outcome {
     std::uint32_t sent = 0;
     std::uint32_t answered = 0;
-    /** Answered within the objective. */
+    /** Number of statements answered within the objective. */
     std::uint32_t inObjective = 0;
     Duration longestWait{0};
     Duration slotTime{0};
@@ -36,12 +37,13 @@
     double share() const { return static_cast<double>(inObjective) / sent; }
 };
 
-/** Ten seconds of load, in steps of a millisecond. Whoever waits for 700 ms is refused. */
+/** Ten seconds of load, in steps of a millisecond. A statement that has waited for 700 ms is
+ * refused. */
 class LoadOnQueue {
 public:
     explicit LoadOnQueue(std::uint32_t slots) : _slots(slots) {}
 
-    /** @return what the callers of each source got, by its name. */
+    /** @return the results of each source by its name. */
     std::map<std::string, Outcome> play(const std::vector<Source>& sources);
 
     WaitingQueue queue;
@@ -68,7 +70,7 @@
     std::mt19937 _random{7};
 };
 
-/** @return Jain's index of what the sources named got of the slots: 1 when all got the same. */
+/** @return Jain's fairness index of the slot time of the named sources: 1 when all got the same. */
 double jain(const std::map<std::string, Outcome>& outcomes, const std::vector<std::string>& names);
 
 }  // namespace coralhoist::admission
--- a/tests/admission/OverloadTest.cpp
+++ b/tests/admission/OverloadTest.cpp
@@ -1,4 +1,4 @@
-/** Plays an overload of one group, order by order, and checks what callers get. */
+/** Simulates an overload of one group with several queue orders and checks the callers' results. */
 #include <CppUTest/TestHarness.h>
 
 #include <algorithm>
@@ -17,29 +17,31 @@
 
 using std::chrono::milliseconds;
 
-/** A primary alone, while its replicas lag. */
+/** The capacity of a primary whose replicas all lag. */
 constexpr int kSlots = 6;
 constexpr Duration kSlotTime = milliseconds(25);
-/** 240 statements a second can be served; 336 come for 4 s, then 120 for 2 s. */
+/** 240 statements a second can be served; 336 a second arrive for 4 s, then 120 a second for 2 s.
+ */
 constexpr Duration kOverload = milliseconds(4000);
 constexpr Duration kPlay = milliseconds(8000);
 constexpr Duration kTimeout = milliseconds(1000);
 constexpr Duration kObjective = milliseconds(200);
 constexpr Duration kOnTime = milliseconds(100);
-/** Callers leave then, whatever they were told, and come back twice at most after this time. */
+/** Callers give up after `kPatience`, whatever retry time they were given. They retry at most
+ * twice, after `kReturn`. */
 constexpr Duration kPatience = milliseconds(1200);
 constexpr Duration kReturn = milliseconds(120);
 constexpr int kReturns = 2;
 const StatementClass kFlow{ServiceName("orders"), 0};
 
 enum class Order { AsItStands, EarliestDeadline, LastInPastOverload, FirstInFirstOut };
-/** Refused after 70% of the timeout and queued anew; held to the last useful moment; by forecast.
- */
+/** Refused after 70% of the timeout and queued as new on a retry; held until the last moment at
+ * which an answer is in time; refused by forecast. */
 enum class Admission { FixedShare, HeldToTheEnd, Forecast };
 
 struct Caller {
     TimePoint firstAt{};
-    /** When the present attempt came, by which it is queued. */
+    /** Arrival of the present attempt, which determines its position. */
     TimePoint arrivedAt{};
     TimePoint queuedAt{};
     TimePoint comesAt{};
@@ -51,10 +53,11 @@
     int inObjective = 0;
     int served = 0;
     std::vector<Duration> refusalAges;
-    /** Longest time after the first asking at which one that was never served was refused. */
+    /** Longest time from the first attempt to the refusal of a statement that was never served. */
     Duration longestRefused{0};
 
-    /** Answers, where a late one is worth a third of one within the objective to its caller. */
+    /** Value of all answers: to its caller, a late one is worth a third of one within the
+     * objective. */
     double useful() const { return inObjective + (served - inObjective) / 3.0; }
     double share(int count) const { return static_cast<double>(count) / asked; }
     Duration medianAge() const {
@@ -86,7 +89,8 @@
     }
 
 private:
-    /** Three in 9 ms while overloaded, then one in 8 ms for two seconds. */
+    /** 336 arrivals a second, about three in 9 ms, during the overload; then about one in 8 ms for
+     * two seconds. */
     void arrive(int& sent) {
         const auto elapsed = std::chrono::duration_cast<milliseconds>(_elapsed).count();
         const auto overload = kOverload / milliseconds(1);
@@ -147,8 +151,9 @@
         for (const auto& [session, at] : _waiting) {
             order.push_back(session);
         }
-        // One timeout for all: the earliest deadline is that of the earliest arrival, over refusals
-        // in the order of deadlines, and of the attempt in the order of arrival.
+        // All statements have the same timeout. The earliest deadline is thus that of the earliest
+        // first arrival, across refusals, when ordering by deadline, and that of the earliest
+        // attempt when ordering by arrival.
         const auto arrival = [&](SessionId id) {
             const Caller& caller = _callers.at(id);
             return _order == Order::EarliestDeadline ? caller.firstAt : caller.arrivedAt;
@@ -259,7 +264,7 @@
 
 TEST_GROUP(Overload){};
 
-/** Who is turned away would have waited in vain in three cases of four at least. */
+/** At least three of four refused statements would have waited in vain. */
 TEST(Overload, RefusalsAreEarlyAndSeldomWrong) {
     const Outcome held =
         play("held to the end, as it stands", Order::AsItStands, Admission::HeldToTheEnd);
@@ -273,7 +278,7 @@
     CHECK_TRUE(forecast.longestRefused <= kPatience);
 }
 
-/** Those who would be served late are served late all the same. */
+/** Statements that would be served late without refusals are still served late with them. */
 TEST(Overload, RefusalsCostNobodyALateAnswer) {
     const Outcome held =
         play("held to the end, as it stands", Order::AsItStands, Admission::HeldToTheEnd);
@@ -284,7 +289,7 @@
     CHECK_TRUE(forecast.share(forecast.served) > fixed.share(fixed.served) - 0.03);
 }
 
-/** A return that counts as new takes the place of younger ones and makes them late. */
+/** A retry that counts as a new statement displaces younger statements and makes them late. */
 TEST(Overload, ReturnsInTurnLeaveMoreInTheirObjective) {
     const Outcome fixed =
         play("70% of the timeout, as it stands", Order::AsItStands, Admission::FixedShare);
--- a/tests/admission/TurnsUnderLoadTest.cpp
+++ b/tests/admission/TurnsUnderLoadTest.cpp
@@ -1,4 +1,5 @@
-/** What callers get of four slots under load; beside it, what they get without flows. */
+/** Compares callers' results on four slots under load with fair queueing of flows and without
+ * flows. */
 #include <CppUTest/TestHarness.h>
 
 #include "LoadOnQueue.h"
@@ -8,10 +9,10 @@
 
 using std::chrono::milliseconds;
 
-/** They take 200 statements of 20 ms each second. */
+/** The slots serve 200 statements of 20 ms each second. */
 constexpr std::uint32_t kSlots = 4;
 constexpr Duration kObjective = milliseconds(200);
-/** A usual sender is hardly ever late. */
+/** Statements of a tenant that sends its usual load are hardly ever late. */
 constexpr double kNearlyAll = 0.98;
 
 using Outcomes = std::map<std::string, Outcome>;
@@ -29,7 +30,7 @@
     return sources;
 }
 
-/** @return the part of all statements that were answered in their objective. */
+/** @return the part of all statements that were answered within their objective. */
 double shareOfAll(const Outcomes& outcomes) {
     Outcome all;
     for (const auto& [name, outcome] : outcomes) {
@@ -39,22 +40,22 @@
     return all.share();
 }
 
-/** Two tenants; one sends ten times its usual, which is that of the other. */
+/** Two tenants; one sends ten times its usual load, which equals that of the other. */
 const std::vector<Source> kFloodOfOne{{"flood", 1, 500, milliseconds(20), "flood"},
                                       {"usual", 1, 50, milliseconds(20), "usual"}};
 
-/** Three tenants that ask for more than their share, one of them with long statements. */
+/** Three tenants that need more than their share, one of them with long statements. */
 const std::vector<Source> kFloodsOfThree{{"ten", 1, 300, milliseconds(20), "ten"},
                                          {"five", 1, 150, milliseconds(20), "five"},
                                          {"long", 1, 100, milliseconds(40), "long"},
                                          {"usual", 1, 20, milliseconds(20), "usual"}};
 
-/** The second rank alone asks for all that the slots take. */
+/** The second rank alone needs all the capacity. */
 const std::vector<Source> kThreeRanks{{"first", 0, 60, milliseconds(20)},
                                       {"second", 1, 200, milliseconds(20)},
                                       {"third", 2, 40, milliseconds(20)}};
 
-/** Services of one estate that ask for more than the slots take. */
+/** Services of one estate that together need more than the capacity. */
 const std::vector<Source> kThreeServices{{"short", 1, 160, milliseconds(9), "short"},
                                          {"middle", 1, 60, milliseconds(28), "middle"},
                                          {"long", 1, 40, milliseconds(47), "long"}};
@@ -109,7 +110,8 @@
 
 TEST(TurnsUnderLoad, AMinimumShareIsKeptForTheLastRank) {
     const Outcomes outcomes = played(kThreeRanks, 20);
-    // At least half of the share: the second rank waits too, and the first not always.
+    // At least half of the share: the second rank is queued too, and the first is not always
+    // queued.
     CHECK_TRUE(outcomes.at("third").slotTime > kSlots * milliseconds(1000));
     CHECK_TRUE(outcomes.at("third").slotTime < kSlots * milliseconds(2000));
     CHECK_TRUE(outcomes.at("first").share() > kNearlyAll);
@@ -120,7 +122,7 @@
     const Outcomes shortest = played(withoutFlows(kThreeServices));
     const Outcomes fair = played(kThreeServices);
     CHECK_TRUE(shareOfAll(shortest) > shareOfAll(fair) + 0.03);
-    // What the turns are for: those whose statements take long.
+    // The benefit of fair queueing: it serves the services with long statements.
     CHECK_TRUE(fair.at("long").share() > shortest.at("long").share() + 0.2);
 }
 
--- a/tests/locality/BackgroundShareTest.cpp
+++ b/tests/locality/BackgroundShareTest.cpp
@@ -17,7 +17,7 @@
     BackgroundShare share{traffic};
     TimePoint now = TimePoint{} + seconds(1000);
 
-    /** @return bytes that may be sent now, in reports. */
+    /** @return the bytes that may be sent now, in reports. */
     std::size_t takeAll() {
         std::size_t taken = 0;
         while (taken < 1000000 && share.take(kReport, now)) {
--- a/tests/locality/EvacuatedZonesTest.cpp
+++ b/tests/locality/EvacuatedZonesTest.cpp
@@ -8,7 +8,7 @@
 using std::chrono::milliseconds;
 
 constexpr Duration kBound = milliseconds(4000);
-/** What the margin leaves of the bound. */
+/** The bound without the margin. */
 constexpr Duration kUsable = milliseconds(3500);
 
 }  // namespace
--- a/tests/placement/HomePolicyTest.cpp
+++ b/tests/placement/HomePolicyTest.cpp
@@ -72,7 +72,9 @@
         return policy.mayBegin(
             placed, {atNorth ? north : south, atNorth ? kNorthZone : kSouthZone, isPrimary});
     }
-    /** What a write of the bound service gets while the server in the north leads. */
+    /**
+     * @return the verdict on a write of the restricted service while the server in the north leads.
+     */
     PlacementVerdict writeInNorth(const TenantName& who = kNobody) {
         return begin(unit(service, true, who), true, true);
     }
--- a/tests/placement/RegionalPrimaryTest.cpp
+++ b/tests/placement/RegionalPrimaryTest.cpp
@@ -7,7 +7,7 @@
 
 using failover::LeadSuitability;
 
-/** Servers d1 and d2 stand in two zones of the north, d3 in the south. */
+/** Servers d1 and d2 are in two zones of the north, d3 is in the south. */
 TEST_GROUP(RegionalPrimary) {
     const GroupName group{"g"};
     const locality::RegionMap regions{{{ZoneName("north-1"), RegionName("north")},
--- a/tests/placement/WarmupPolicyTest.cpp
+++ b/tests/placement/WarmupPolicyTest.cpp
@@ -16,7 +16,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** Hands out what the test puts in. */
+/** Grants the units that the test provides. */
 class FakeUnits final : public warmup::RequestUnits {
 public:
     warmup::RequestProspect look(const GroupName&, const ServerName& server,
@@ -60,7 +60,7 @@
         servers.applyGroups({{group, {10, seconds(6)}}}, clock.now());
     }
 
-    /** Both have just been heard. */
+    /** Both servers' entries have just been received. */
     void hear(Duration firstCold, Duration secondCold) {
         servers.applyServers(group, {{first, listed(firstCold)}, {second, listed(secondCold)}},
                              clock.now());
