--- a/src/admission/FirstAsking.h
+++ b/src/admission/FirstAttempt.h
@@ -13,7 +13,7 @@
  * its time counted, from the moment of the first attempt. The record is kept in the session, so the
  * number of records is bounded by the number of sessions and a record ends with its session.
  */
-class FirstAsking {
+class FirstAttempt {
 public:
     /**
      * @return whether a retry of a refused statement can still be recognised. Cheap: most sessions
--- a/src/pooling/PooledSession.h
+++ b/src/pooling/PooledSession.h
@@ -7,7 +7,7 @@
 #include <set>
 #include <string>
 
-#include "admission/FirstAsking.h"
+#include "admission/FirstAttempt.h"
 #include "base/Identifier.h"
 #include "base/OpTime.h"
 #include "base/Time.h"
@@ -129,7 +129,7 @@
     /** The same: time for which an answer to its first statement is of use to the caller. */
     std::optional<Duration> usefulFor;
     /** What was refused, for the case that the caller asks again. */
-    admission::FirstAsking firstAsking;
+    admission::FirstAttempt firstAsking;
 };
 
 }  // namespace coralhoist::pooling
--- a/src/tenancy/TenantGate.h
+++ b/src/tenancy/TenantGate.h
@@ -11,7 +11,7 @@
 #include <unordered_map>
 #include <utility>
 
-#include "admission/FirstAsking.h"
+#include "admission/FirstAttempt.h"
 #include "base/Log.h"
 #include "base/Time.h"
 #include "pooling/StatementPooler.h"
@@ -110,7 +110,7 @@
         bool hasTurn = false;
         /** When the caller first asked for what it asks now, and what was refused last. */
         TimePoint firstArrival{};
-        admission::FirstAsking firstAsking;
+        admission::FirstAttempt firstAsking;
     };
     /** Statements of a tenant that have the same rank. */
     using RankedTenant = std::pair<TenantName, std::uint32_t>;
