--- a/src/admission/AdmissionPolicy.cpp
+++ b/src/admission/AdmissionPolicy.cpp
@@ -7,21 +7,21 @@
 
 /** Interval between two reviews of the queue. To a caller, a refusal that comes this much later is
  * still immediate; a review costs as much as choosing a server for every queued statement. */
-constexpr Duration kLookEvery = std::chrono::milliseconds(10);
+constexpr Duration kReviewInterval = std::chrono::milliseconds(10);
 /** A review older than this says nothing about the wait of a new statement. */
-constexpr Duration kLookTellsFor = std::chrono::milliseconds(150);
+constexpr Duration kReviewValidFor = std::chrono::milliseconds(150);
 /**
  * A statement is refused only when its forecast divided by this factor exceeds the time left.
  * Forecasts may be wrong by that factor, and a wrong refusal costs a caller more than a wrong wait.
  */
 constexpr int kForecastTolerance = 2;
 /** Minimum retry delay: the time that a statement takes at a fast server. */
-constexpr Duration kLeastTurn = std::chrono::milliseconds(20);
+constexpr Duration kMinRetryDelay = std::chrono::milliseconds(20);
 /** Retry times are spread over no more than this: beyond it callers have given up. */
-constexpr Duration kLongestSpread = std::chrono::seconds(1);
+constexpr Duration kMaxRetrySpread = std::chrono::seconds(1);
 
-Lane laneOf(const Applicant& applicant, TimePoint now) {
-    return now < applicant.onTimeUntil ? Lane::OnTime : Lane::Late;
+Lane laneOf(const QueuedStatement& statement, TimePoint now) {
+    return now < statement.onTimeUntil ? Lane::OnTime : Lane::Late;
 }
 
 std::size_t& countOf(LaneCounts& counts, Lane lane) {
@@ -30,49 +30,50 @@
 
 }  // namespace
 
-std::vector<ForecastRefusal> AdmissionPolicy::look(TimePoint now,
-                                                   const std::vector<Applicant>& applicants) {
-    _nextLook = now + kLookEvery;
+std::vector<ForecastRefusal> AdmissionPolicy::review(
+    TimePoint now, const std::vector<QueuedStatement>& statements) {
+    _nextReview = now + kReviewInterval;
     _waiting.clear();
-    for (const Applicant& applicant : applicants) {
-        if (!applicant.obstacle.empty()) {
-            _obstacles.noteSeen(applicant.obstacle, now);
+    for (const QueuedStatement& statement : statements) {
+        if (!statement.obstacle.empty()) {
+            _obstacles.noteSeen(statement.obstacle, now);
             continue;
         }
-        LaneCounts& counts = _waiting[applicant.statementClass];
-        ++countOf(counts, laneOf(applicant, now));
+        LaneCounts& counts = _waiting[statement.statementClass];
+        ++countOf(counts, laneOf(statement, now));
     }
-    _obstacles.noteLook(now);
+    _obstacles.noteReview(now);
     _forecast.observe(now, _waiting);
     std::map<StatementClass, LaneCounts> ahead;
     std::vector<ForecastRefusal> refusals;
-    for (const Applicant& applicant : applicants) {
-        const bool queued = applicant.obstacle.empty();
-        LaneCounts& before = ahead[applicant.statementClass];
+    for (const QueuedStatement& statement : statements) {
+        const bool queued = statement.obstacle.empty();
+        LaneCounts& before = ahead[statement.statementClass];
         LaneCounts counted = before;
-        if (queued && laneOf(applicant, now) == Lane::OnTime) {
+        if (queued && laneOf(statement, now) == Lane::OnTime) {
             // Statements that are late already precede this statement once it becomes late itself.
-            counted.late = _waiting[applicant.statementClass].late;
+            counted.late = _waiting[statement.statementClass].late;
         }
         const std::optional<Duration> wait =
             queued
-                ? _forecast.waitOf(applicant.statementClass, counted, applicant.onTimeUntil - now)
-                : _obstacles.untilEnd(applicant.obstacle, now);
+                ? _forecast.waitOf(statement.statementClass, counted, statement.onTimeUntil - now)
+                : _obstacles.untilEnd(statement.obstacle, now);
         if (wait && *wait > Duration(0) &&
-            now + *wait / kForecastTolerance > applicant.latestStart) {
+            now + *wait / kForecastTolerance > statement.latestStart) {
             refusals.push_back(
-                {applicant.session, *wait, turnAfter(now, applicant.statementClass, *wait)});
+                {statement.session, *wait, nextRetryDelay(now, statement.statementClass, *wait)});
             continue;
         }
         if (queued) {
-            ++countOf(before, laneOf(applicant, now));
+            ++countOf(before, laneOf(statement, now));
         }
     }
     return refusals;
 }
 
-Duration AdmissionPolicy::waitOfNext(const StatementClass& statementClass, TimePoint now) const {
-    if (now >= _nextLook + kLookTellsFor) {
+Duration AdmissionPolicy::waitOfNewStatement(const StatementClass& statementClass,
+                                             TimePoint now) const {
+    if (now >= _nextReview + kReviewValidFor) {
         return Duration(0);
     }
     const auto found = _waiting.find(statementClass);
@@ -80,14 +81,14 @@
                             Duration(0));
 }
 
-Duration AdmissionPolicy::turnAfter(TimePoint now, const StatementClass& statementClass,
-                                    Duration forecast) {
+Duration AdmissionPolicy::nextRetryDelay(TimePoint now, const StatementClass& statementClass,
+                                         Duration forecast) {
     const Duration pace = std::max({_forecast.pace(statementClass, Lane::OnTime),
                                     _forecast.pace(statementClass, Lane::Late), Duration(1)});
-    const TimePoint first = now + std::max(forecast, kLeastTurn);
-    const bool follows = _lastTurn >= first && _lastTurn + pace <= first + kLongestSpread;
-    _lastTurn = follows ? _lastTurn + pace : first;
-    return _lastTurn - now;
+    const TimePoint first = now + std::max(forecast, kMinRetryDelay);
+    const bool follows = _lastRetryAt >= first && _lastRetryAt + pace <= first + kMaxRetrySpread;
+    _lastRetryAt = follows ? _lastRetryAt + pace : first;
+    return _lastRetryAt - now;
 }
 
 }  // namespace coralhoist::admission
--- a/src/admission/AdmissionPolicy.h
+++ b/src/admission/AdmissionPolicy.h
@@ -14,7 +14,7 @@
 namespace coralhoist::admission {
 
 /** The properties of a queued statement that its admission depends on. */
-struct Applicant {
+struct QueuedStatement {
     SessionId session;
     StatementClass statementClass;
     /** Until this time the statement precedes those that are late. */
@@ -53,36 +53,37 @@
     }
 
     /** @return whether the queued statements are due for a review. Cheap. */
-    bool isDue(TimePoint now) const { return now >= _nextLook; }
+    bool isReviewDue(TimePoint now) const { return now >= _nextReview; }
 
     /**
      * Reviews all queued statements.
      * @param applicants in the order in which they are to be placed.
      * @return the statements to refuse.
      */
-    std::vector<ForecastRefusal> look(TimePoint now, const std::vector<Applicant>& applicants);
+    std::vector<ForecastRefusal> review(TimePoint now,
+                                        const std::vector<QueuedStatement>& statements);
 
     /**
      * @return the time after which a caller that is refused now should retry: the forecast, and at
      * least one start interval after the retry time of the caller refused before, so that retries
      * arrive at the rate at which statements start.
      */
-    Duration turnAfter(TimePoint now, const StatementClass& statementClass, Duration forecast);
+    Duration nextRetryDelay(TimePoint now, const StatementClass& statementClass, Duration forecast);
 
     /**
      * @return the forecast wait of a statement of the class behind all statements that were queued
      * at the last review; zero when that review is too old.
      */
-    Duration waitOfNext(const StatementClass& statementClass, TimePoint now) const;
+    Duration waitOfNewStatement(const StatementClass& statementClass, TimePoint now) const;
 
 private:
     WaitForecast _forecast;
     ObstacleTimes _obstacles;
     /** Numbers of statements that were queued at the last review. */
     std::map<StatementClass, LaneCounts> _waiting;
-    TimePoint _nextLook{};
+    TimePoint _nextReview{};
     /** The latest retry time that was given to a caller. */
-    TimePoint _lastTurn{};
+    TimePoint _lastRetryAt{};
 };
 
 }  // namespace coralhoist::admission
--- a/src/admission/FairShares.cpp
+++ b/src/admission/FairShares.cpp
@@ -13,7 +13,7 @@
  * Upper bound of the credit of a flow whose statements could not be placed. It is more than a long
  * statement takes, and less than would make other flows' statements late when the credit is used.
  */
-constexpr Duration kMostCredit = std::chrono::milliseconds(100);
+constexpr Duration kMaxCredit = std::chrono::milliseconds(100);
 
 /**
  * Virtual starts are compared in steps of this size. Flows whose starts lie in one step count as
@@ -21,16 +21,16 @@
  * have one queued statement at a time; by the exact start they would be served in order of arrival.
  * A flow that floods the queue gains one step over the others at most.
  */
-constexpr Duration kAlike = std::chrono::milliseconds(50);
+constexpr Duration kStartStep = std::chrono::milliseconds(50);
 
 /** Idle flows are removed once this many flows are known. */
-constexpr std::size_t kManyFlows = 1024;
+constexpr std::size_t kIdleSweepThreshold = 1024;
 
 }  // namespace
 
-bool FairShares::Turn::operator<(const Turn& other) const {
-    const std::int64_t ownStep = start / kAlike;
-    const std::int64_t otherStep = other.start / kAlike;
+bool FairShares::FlowPosition::operator<(const FlowPosition& other) const {
+    const std::int64_t ownStep = start / kStartStep;
+    const std::int64_t otherStep = other.start / kStartStep;
     return std::tie(otherStep, *other.next) < std::tie(ownStep, *next);
 }
 
@@ -64,35 +64,35 @@
         state.waiting.empty() ? std::max(state.finish, _virtualTime) : startOf(state);
     _virtualTime = std::max(_virtualTime, start);
     state.finish = start + chargeOf(slotTime);
-    if (_flows.size() >= kManyFlows) {
+    if (_flows.size() >= kIdleSweepThreshold) {
         dropIdle();
     }
 }
 
 void FairShares::appendOrder(std::vector<SessionId>& order) const {
-    std::vector<Turn> heap = turns();
+    std::vector<FlowPosition> heap = flowHeap();
     while (heap.size() > 1) {
         std::pop_heap(heap.begin(), heap.end());
-        Turn& turn = heap.back();
-        order.push_back(turn.next->session);
-        turn.start += chargeOf(turn.next->slotTime);
-        ++turn.next;
-        if (turn.next == turn.end) {
+        FlowPosition& position = heap.back();
+        order.push_back(position.next->session);
+        position.start += chargeOf(position.next->slotTime);
+        ++position.next;
+        if (position.next == position.end) {
             heap.pop_back();
         } else {
             std::push_heap(heap.begin(), heap.end());
         }
     }
-    for (const Turn& turn : heap) {
-        for (const Waiting* waiting = turn.next; waiting != turn.end; ++waiting) {
+    for (const FlowPosition& position : heap) {
+        for (const Waiting* waiting = position.next; waiting != position.end; ++waiting) {
             order.push_back(waiting->session);
         }
     }
 }
 
 /** @return a heap of the flows that have queued statements. */
-std::vector<FairShares::Turn> FairShares::turns() const {
-    std::vector<Turn> heap;
+std::vector<FairShares::FlowPosition> FairShares::flowHeap() const {
+    std::vector<FlowPosition> heap;
     heap.reserve(_flows.size());
     for (const auto& [name, flow] : _flows) {
         if (!flow.waiting.empty()) {
@@ -106,7 +106,7 @@
 
 /** @return the virtual start of the next statement of a flow with queued statements. */
 Duration FairShares::startOf(const Flow& flow) const {
-    return std::max(flow.finish, _virtualTime - kMostCredit);
+    return std::max(flow.finish, _virtualTime - kMaxCredit);
 }
 
 /** Removes flows without queued statements whose finish is not after the virtual time: they are
--- a/src/admission/FairShares.h
+++ b/src/admission/FairShares.h
@@ -72,17 +72,17 @@
         Duration finish{0};
     };
     /** The position of a flow's next statement relative to other flows. */
-    struct Turn {
+    struct FlowPosition {
         Duration start{0};
         const Waiting* next = nullptr;
         const Waiting* end = nullptr;
 
         /** @return whether the other goes first; orders a heap with the first one at its front. */
-        bool operator<(const Turn& other) const;
+        bool operator<(const FlowPosition& other) const;
     };
 
     Duration startOf(const Flow& flow) const;
-    std::vector<Turn> turns() const;
+    std::vector<FlowPosition> flowHeap() const;
     void dropIdle();
 
     /** Flows with queued statements, and flows that were served beyond the virtual time. */
--- a/src/admission/ObstacleTimes.cpp
+++ b/src/admission/ObstacleTimes.cpp
@@ -8,7 +8,7 @@
 /** A new duration is weighted with one part in this many. */
 constexpr int kSmoothing = 4;
 /** Number of ended obstacles needed for a forecast: a single one may have been an exception. */
-constexpr std::uint32_t kLeastEnds = 3;
+constexpr std::uint32_t kMinEnds = 3;
 
 }  // namespace
 
@@ -22,7 +22,7 @@
     obstacle.seenAt = now;
 }
 
-void ObstacleTimes::noteLook(TimePoint now) {
+void ObstacleTimes::noteReview(TimePoint now) {
     for (auto& [name, obstacle] : _obstacles) {
         endIfOver(obstacle, now);
     }
@@ -41,7 +41,7 @@
 
 std::optional<Duration> ObstacleTimes::untilEnd(std::string_view name, TimePoint now) const {
     const auto found = _obstacles.find(name);
-    if (found == _obstacles.end() || !found->second.since || found->second.ends < kLeastEnds) {
+    if (found == _obstacles.end() || !found->second.since || found->second.ends < kMinEnds) {
         return std::nullopt;
     }
     const TimePoint end = *found->second.since + found->second.usual;
--- a/src/admission/ObstacleTimes.h
+++ b/src/admission/ObstacleTimes.h
@@ -18,7 +18,7 @@
     void noteSeen(std::string_view name, TimePoint now);
 
     /** Ends the obstacles that have not blocked statements lately. */
-    void noteLook(TimePoint now);
+    void noteReview(TimePoint now);
 
     /**
      * @return the time until the obstacle usually ends; nothing when too few occurrences have been
--- a/src/admission/WaitForecast.cpp
+++ b/src/admission/WaitForecast.cpp
@@ -16,7 +16,7 @@
  */
 constexpr Duration kLongestGap = std::chrono::milliseconds(150);
 /** An observation shorter than this says nothing about waits and is removed. */
-constexpr Duration kForgotten = std::chrono::milliseconds(2);
+constexpr Duration kMinObservation = std::chrono::milliseconds(2);
 
 }  // namespace
 
@@ -45,7 +45,7 @@
         update(observation, span, count > 0);
     }
     std::erase_if(_observations, [](const auto& entry) {
-        return !entry.second.waiting && entry.second.watched < kForgotten;
+        return !entry.second.waiting && entry.second.watched < kMinObservation;
     });
 }
 
--- a/src/admission/WaitingQueue.cpp
+++ b/src/admission/WaitingQueue.cpp
@@ -8,7 +8,7 @@
 
 /** Upper bound of the slot time reserved for one rank. It covers the longest statements; a higher
  * bound would delay the first rank once a rank that could not be placed becomes placeable. */
-constexpr Duration kMostKept = std::chrono::milliseconds(200);
+constexpr Duration kMaxReserve = std::chrono::milliseconds(200);
 
 constexpr std::uint32_t kWhole = 100;
 
@@ -18,7 +18,7 @@
     remove(statement.session);
     const Entry entry{statement, ++_lastNumber};
     RankQueue& rank = _ranks[statement.rank];
-    rank.onTime.add(statement.flow, turnOf(entry));
+    rank.onTime.add(statement.flow, waitingOf(entry));
     rank.lateFrom.emplace(lateFrom(statement), statement.session);
     _entries.emplace(statement.session, entry);
 }
@@ -51,19 +51,19 @@
     moveLate(now);
     std::vector<SessionId> sessions;
     sessions.reserve(_entries.size());
-    auto keptEnd = std::ptrdiff_t{0};
+    auto reservedEnd = std::ptrdiff_t{0};
     for (const auto& [number, rank] : _ranks) {
         const std::size_t from = sessions.size();
         rank.onTime.appendOrder(sessions);
         for (const Arrival& arrival : rank.late) {
             sessions.push_back(arrival.second);
         }
-        const std::size_t kept = keptTurns(rank, sessions, from);
-        if (kept > 0) {
+        const std::size_t reserved = reservedCount(rank, sessions, from);
+        if (reserved > 0) {
             const auto first = sessions.begin() + static_cast<std::ptrdiff_t>(from);
-            const auto end = first + static_cast<std::ptrdiff_t>(kept);
-            std::rotate(sessions.begin() + keptEnd, first, end);
-            keptEnd += static_cast<std::ptrdiff_t>(kept);
+            const auto end = first + static_cast<std::ptrdiff_t>(reserved);
+            std::rotate(sessions.begin() + reservedEnd, first, end);
+            reservedEnd += static_cast<std::ptrdiff_t>(reserved);
         }
     }
     return sessions;
@@ -74,7 +74,7 @@
     return found == _ranks.end() ? 0 : found->second.size();
 }
 
-FairShares::Waiting WaitingQueue::turnOf(const Entry& entry) {
+FairShares::Waiting WaitingQueue::waitingOf(const Entry& entry) {
     return {entry.statement.slotTime, entry.number, entry.statement.session};
 }
 
@@ -87,7 +87,7 @@
     RankQueue& rank = _ranks[entry.statement.rank];
     const SessionId session = entry.statement.session;
     if (rank.lateFrom.erase({lateFrom(entry.statement), session}) > 0) {
-        rank.onTime.remove(entry.statement.flow, turnOf(entry));
+        rank.onTime.remove(entry.statement.flow, waitingOf(entry));
         return;
     }
     const Arrival arrival{entry.number, session};
@@ -103,7 +103,8 @@
     const Duration part = slotTime * _minimumShare / (kWhole * (_ranks.size() - 1));
     for (auto each = std::next(_ranks.begin()); each != _ranks.end(); ++each) {
         const Duration used = each->first == rank ? slotTime : Duration(0);
-        each->second.kept = std::clamp(each->second.kept + part - used, Duration(0), kMostKept);
+        each->second.reserved =
+            std::clamp(each->second.reserved + part - used, Duration(0), kMaxReserve);
     }
 }
 
@@ -114,7 +115,7 @@
             const SessionId session = rank.lateFrom.begin()->second;
             const Entry& entry = _entries.at(session);
             rank.lateFrom.erase(rank.lateFrom.begin());
-            rank.onTime.remove(entry.statement.flow, turnOf(entry));
+            rank.onTime.remove(entry.statement.flow, waitingOf(entry));
             const Arrival arrival{entry.number, session};
             rank.late.insert(std::ranges::lower_bound(rank.late, arrival), arrival);
         }
@@ -125,20 +126,20 @@
  * @return how many of the rank's statements, starting at position `from`, its reserved slot time
  * covers.
  */
-std::size_t WaitingQueue::keptTurns(const RankQueue& rank, const std::vector<SessionId>& order,
-                                    std::size_t from) const {
-    Duration left = rank.kept;
-    std::size_t turns = 0;
-    while (left > Duration(0) && from + turns < order.size()) {
-        const Entry& next = _entries.at(order[from + turns]);
+std::size_t WaitingQueue::reservedCount(const RankQueue& rank, const std::vector<SessionId>& order,
+                                        std::size_t from) const {
+    Duration left = rank.reserved;
+    std::size_t count = 0;
+    while (left > Duration(0) && from + count < order.size()) {
+        const Entry& next = _entries.at(order[from + count]);
         const Duration charge = FairShares::chargeOf(next.statement.slotTime);
-        if (left < std::min(charge, kMostKept)) {
+        if (left < std::min(charge, kMaxReserve)) {
             break;
         }
         left -= charge;
-        ++turns;
+        ++count;
     }
-    return turns;
+    return count;
 }
 
 }  // namespace coralhoist::admission
--- a/src/admission/WaitingQueue.h
+++ b/src/admission/WaitingQueue.h
@@ -83,18 +83,18 @@
         /** When each of the statements on time becomes late. */
         std::set<std::pair<TimePoint, SessionId>> lateFrom;
         /** Slot time reserved for the rank and not used yet. */
-        Duration kept{0};
+        Duration reserved{0};
 
         std::size_t size() const { return late.size() + lateFrom.size(); }
     };
 
-    static FairShares::Waiting turnOf(const Entry& entry);
+    static FairShares::Waiting waitingOf(const Entry& entry);
     static TimePoint lateFrom(const WaitingStatement& statement);
     void take(const Entry& entry);
     void chargeRank(std::uint32_t rank, Duration slotTime);
     void moveLate(TimePoint now) const;
-    std::size_t keptTurns(const RankQueue& rank, const std::vector<SessionId>& order,
-                          std::size_t from) const;
+    std::size_t reservedCount(const RankQueue& rank, const std::vector<SessionId>& order,
+                              std::size_t from) const;
 
     std::unordered_map<SessionId, Entry> _entries;
     /** `order` moves statements that have become late since; callers can't observe that change. */
--- a/src/locality/EvacuatedZones.cpp
+++ b/src/locality/EvacuatedZones.cpp
@@ -35,7 +35,7 @@
             _unconfirmed.insert_or_assign(zone, now);
         } else if (!_unconfirmed.contains(zone)) {
             _versions[zone] = version;
-            giveBack(zone);
+            endEvacuation(zone);
         }
     }
     for (const auto& [zone, written] : zones) {
@@ -45,7 +45,7 @@
 
 void EvacuatedZones::takeEvacuation(const ZoneName& zone, const StoreVersion& version,
                                     TimePoint provenAt, TimePoint now) {
-    if (!isNews(zone, version)) {
+    if (!noteIfNewer(zone, version)) {
         return;
     }
     _unconfirmed.erase(zone);
@@ -54,8 +54,8 @@
 }
 
 void EvacuatedZones::takeRemoval(const ZoneName& zone, const StoreVersion& version) {
-    if (isNews(zone, version)) {
-        giveBack(zone);
+    if (noteIfNewer(zone, version)) {
+        endEvacuation(zone);
     }
 }
 
@@ -66,11 +66,11 @@
             lost.push_back(zone);
         }
     }
-    std::for_each(lost.begin(), lost.end(), [this](const ZoneName& zone) { giveBack(zone); });
+    std::for_each(lost.begin(), lost.end(), [this](const ZoneName& zone) { endEvacuation(zone); });
 }
 
 /** @return whether the version is later than every known version of the zone; if so, records it. */
-bool EvacuatedZones::isNews(const ZoneName& zone, const StoreVersion& version) {
+bool EvacuatedZones::noteIfNewer(const ZoneName& zone, const StoreVersion& version) {
     StoreVersion& known = _versions[zone];
     if (version <= known || version.era < _listed.era) {
         return false;
@@ -79,7 +79,7 @@
     return true;
 }
 
-void EvacuatedZones::giveBack(const ZoneName& zone) {
+void EvacuatedZones::endEvacuation(const ZoneName& zone) {
     _unconfirmed.erase(zone);
     _changes += _zones.erase(zone);
 }
--- a/src/locality/EvacuatedZones.h
+++ b/src/locality/EvacuatedZones.h
@@ -81,8 +81,8 @@
     std::uint64_t changes() const { return _changes; }
 
 private:
-    bool isNews(const ZoneName& zone, const StoreVersion& version);
-    void giveBack(const ZoneName& zone);
+    bool noteIfNewer(const ZoneName& zone, const StoreVersion& version);
+    void endEvacuation(const ZoneName& zone);
 
     Duration _bound;
     std::map<ZoneName, Evacuation> _zones;
--- a/src/placement/EvacuationProgress.cpp
+++ b/src/placement/EvacuationProgress.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /** Interval at which a zone is checked while it is not empty. */
-constexpr Duration kLook = std::chrono::milliseconds(100);
+constexpr Duration kCheckInterval = std::chrono::milliseconds(100);
 
 auto milliseconds(Duration span) {
     return std::chrono::duration_cast<std::chrono::milliseconds>(span).count();
@@ -23,42 +23,42 @@
 }  // namespace
 
 bool EvacuationProgress::advance(TimePoint now) {
-    if (_zones.zones().empty() && _told.empty()) {
+    if (_zones.zones().empty() && _reported.empty()) {
         _seenChanges = _zones.changes();
         return false;
     }
     // A zone that was released and evacuated again counts as one evacuation ended and one begun.
-    const bool ended = tellEnded(now);
-    const bool begun = tellBegun(now);
+    const bool ended = reportEnded(now);
+    const bool begun = reportBegun(now);
     _seenChanges = _zones.changes();
     const Loads loads = _loads();
-    const bool closed = tellClosed(now, loads);
-    tellEmpty(now, loads);
-    _nextLook = now + kLook;
+    const bool closed = reportClosed(now, loads);
+    reportEmpty(now, loads);
+    _nextCheck = now + kCheckInterval;
     return ended || begun || closed;
 }
 
-bool EvacuationProgress::tellEnded(TimePoint now) {
-    return std::erase_if(_told, [this, now](const auto& entry) {
-               const auto& [zone, told] = entry;
+bool EvacuationProgress::reportEnded(TimePoint now) {
+    return std::erase_if(_reported, [this, now](const auto& entry) {
+               const auto& [zone, reported] = entry;
                const auto found = _zones.zones().find(zone);
                const bool goesOn = found != _zones.zones().end() &&
-                                   found->second.learnedAt == told.evacuation.learnedAt;
+                                   found->second.learnedAt == reported.evacuation.learnedAt;
                if (!goesOn) {
                    LogEvent("evacuation", LogLevel::Info, "evacuation.ended")
                        .field("zone", zone)
-                       .field("lasted_ms", milliseconds(now - told.evacuation.learnedAt))
-                       .field("was_empty", told.empty)
+                       .field("lasted_ms", milliseconds(now - reported.evacuation.learnedAt))
+                       .field("was_empty", reported.empty)
                        .field("statements", _policy.trafficOf(zone).sent);
                }
                return !goesOn;
            }) > 0;
 }
 
-bool EvacuationProgress::tellBegun(TimePoint now) {
+bool EvacuationProgress::reportBegun(TimePoint now) {
     bool begun = false;
     for (const auto& [zone, evacuation] : _zones.zones()) {
-        if (_told.emplace(zone, Told{evacuation}).second) {
+        if (_reported.emplace(zone, ReportedState{evacuation}).second) {
             begun = true;
             _policy.resetTraffic(zone);
             LogEvent("evacuation", LogLevel::Info, "evacuation.begun")
@@ -69,18 +69,18 @@
     return begun;
 }
 
-bool EvacuationProgress::tellClosed(TimePoint now, const Loads& loads) {
+bool EvacuationProgress::reportClosed(TimePoint now, const Loads& loads) {
     bool closed = false;
-    for (auto& [zone, told] : _told) {
-        if (told.closed || now < told.evacuation.closesAt) {
+    for (auto& [zone, reported] : _reported) {
+        if (reported.closed || now < reported.evacuation.closesAt) {
             continue;
         }
-        told.closed = true;
+        reported.closed = true;
         closed = true;
         const pooling::ZoneLoad load = loadIn(loads, zone);
         LogEvent("evacuation", LogLevel::Info, "evacuation.closed")
             .field("zone", zone)
-            .field("after_ms", milliseconds(now - told.evacuation.learnedAt))
+            .field("after_ms", milliseconds(now - reported.evacuation.learnedAt))
             .field("in_flight", load.inFlight)
             .field("transactions", load.transactions)
             .field("primaries", load.primaries);
@@ -88,24 +88,24 @@
     return closed;
 }
 
-void EvacuationProgress::tellEmpty(TimePoint now, const Loads& loads) {
-    for (auto& [zone, told] : _told) {
-        if (told.empty || !loadIn(loads, zone).isEmpty()) {
+void EvacuationProgress::reportEmpty(TimePoint now, const Loads& loads) {
+    for (auto& [zone, reported] : _reported) {
+        if (reported.empty || !loadIn(loads, zone).isEmpty()) {
             continue;
         }
-        told.empty = true;
+        reported.empty = true;
         const EvacuatedTraffic traffic = _policy.trafficOf(zone);
-        const TimePoint last = std::max(traffic.lastSentAt, told.evacuation.learnedAt);
+        const TimePoint last = std::max(traffic.lastSentAt, reported.evacuation.learnedAt);
         LogEvent("evacuation", LogLevel::Info, "evacuation.empty")
             .field("zone", zone)
-            .field("after_ms", milliseconds(now - told.evacuation.learnedAt))
-            .field("last_statement_after_ms", milliseconds(last - told.evacuation.learnedAt))
+            .field("after_ms", milliseconds(now - reported.evacuation.learnedAt))
+            .field("last_statement_after_ms", milliseconds(last - reported.evacuation.learnedAt))
             .field("statements", traffic.sent);
     }
 }
 
 bool EvacuationProgress::isEveryZoneEmpty() const {
-    return std::all_of(_told.begin(), _told.end(),
+    return std::all_of(_reported.begin(), _reported.end(),
                        [](const auto& entry) { return entry.second.empty && entry.second.closed; });
 }
 
@@ -114,13 +114,14 @@
         return TimePoint::min();
     }
     std::optional<TimePoint> next;
-    for (const auto& [zone, told] : _told) {
-        if (!told.closed) {
-            next = std::min(next.value_or(told.evacuation.closesAt), told.evacuation.closesAt);
+    for (const auto& [zone, reported] : _reported) {
+        if (!reported.closed) {
+            next =
+                std::min(next.value_or(reported.evacuation.closesAt), reported.evacuation.closesAt);
         }
     }
-    if (!_told.empty() && !isEveryZoneEmpty()) {
-        next = std::min(next.value_or(_nextLook), _nextLook);
+    if (!_reported.empty() && !isEveryZoneEmpty()) {
+        next = std::min(next.value_or(_nextCheck), _nextCheck);
     }
     return next;
 }
--- a/src/placement/EvacuationProgress.h
+++ b/src/placement/EvacuationProgress.h
@@ -47,24 +47,24 @@
 
 private:
     /** The state of an evacuation that has been logged. */
-    struct Told {
+    struct ReportedState {
         locality::Evacuation evacuation;
         bool closed = false;
         bool empty = false;
     };
 
-    bool tellEnded(TimePoint now);
-    bool tellBegun(TimePoint now);
-    bool tellClosed(TimePoint now, const Loads& loads);
-    void tellEmpty(TimePoint now, const Loads& loads);
+    bool reportEnded(TimePoint now);
+    bool reportBegun(TimePoint now);
+    bool reportClosed(TimePoint now, const Loads& loads);
+    void reportEmpty(TimePoint now, const Loads& loads);
     bool isEveryZoneEmpty() const;
 
     const locality::EvacuatedZones& _zones;
     EvacuationPolicy& _policy;
     std::function<Loads()> _loads;
-    std::map<ZoneName, Told> _told;
+    std::map<ZoneName, ReportedState> _reported;
     std::uint64_t _seenChanges = 0;
-    TimePoint _nextLook{};
+    TimePoint _nextCheck{};
 };
 
 }  // namespace coralhoist::placement
--- a/src/placement/HomePolicy.cpp
+++ b/src/placement/HomePolicy.cpp
@@ -18,9 +18,9 @@
 
 /** Expected duration of a planned change of a primary: its survey, the catching up of the successor
  * and the promotion. */
-constexpr Duration kMoveTakes = std::chrono::milliseconds(2500);
+constexpr Duration kExpectedMoveTime = std::chrono::milliseconds(2500);
 /** Maximum time for which statements are deferred for a primary that stays outside the homes. */
-constexpr Duration kMovePatience = std::chrono::milliseconds(5000);
+constexpr Duration kMoveTimeout = std::chrono::milliseconds(5000);
 /** Expected time until a change of primary that is overdue. */
 constexpr Duration kMoveOverdue = std::chrono::milliseconds(100);
 
@@ -219,9 +219,9 @@
         outside = {primary.server, now};
     }
     const Duration waited = now - outside.since;
-    return waited > kMovePatience
+    return waited > kMoveTimeout
                ? std::nullopt
-               : std::optional<Duration>(std::max(kMoveOverdue, kMoveTakes - waited));
+               : std::optional<Duration>(std::max(kMoveOverdue, kExpectedMoveTime - waited));
 }
 
 bool HomePolicy::hasServerIn(const GroupName& group, const HomeRegions& homes) const {
--- a/src/placement/QuotaRequestUnits.cpp
+++ b/src/placement/QuotaRequestUnits.cpp
@@ -52,10 +52,10 @@
     return name.value().starts_with(kPrefix);
 }
 
-warmup::RequestProspect QuotaRequestUnits::look(const GroupName& group, const ServerName& server,
-                                                const warmup::RequestWish& wish) {
+warmup::UnitAvailability QuotaRequestUnits::look(const GroupName& group, const ServerName& server,
+                                                 const warmup::UnitDemand& demand) {
     const tenancy::QuotaVerdict verdict =
-        _quotas.look(quotaOf(group, server), {wish.count, wish.rank, 0});
+        _quotas.look(quotaOf(group, server), {demand.count, demand.rank, 0});
     switch (verdict.kind) {
         case tenancy::QuotaVerdict::Kind::Granted:
             return {true, Duration(0)};
--- a/src/placement/QuotaRequestUnits.h
+++ b/src/placement/QuotaRequestUnits.h
@@ -41,8 +41,8 @@
     /** @return whether the name is that of a server's quota. */
     static bool isServerQuota(const TenantName& name);
 
-    warmup::RequestProspect look(const GroupName& group, const ServerName& server,
-                                 const warmup::RequestWish& wish) override;
+    warmup::UnitAvailability look(const GroupName& group, const ServerName& server,
+                                  const warmup::UnitDemand& demand) override;
     bool take(const GroupName& group, const ServerName& server) override;
 
 private:
--- a/src/placement/WarmupPolicy.cpp
+++ b/src/placement/WarmupPolicy.cpp
@@ -28,14 +28,14 @@
 
 PlacementVerdict WarmupPolicy::verdictOf(const pooling::PlacedUnit& unit,
                                          const pooling::PlacedServer& server,
-                                         const warmup::RequestWish& wish, TimePoint now) {
-    const warmup::RequestProspect prospect = _units.look(unit.group, server.server, wish);
-    if (prospect.isAtHand) {
+                                         const warmup::UnitDemand& demand, TimePoint now) {
+    const warmup::UnitAvailability availability = _units.look(unit.group, server.server, demand);
+    if (availability.isAvailable) {
         return PlacementVerdict::allowed();
     }
     ++_statistics.deferred;
-    _reviewAt = std::min(_reviewAt, now + std::max(prospect.expectedIn, kShortestReview));
-    return PlacementVerdict::deferred(prospect.expectedIn, kReason);
+    _reviewAt = std::min(_reviewAt, now + std::max(availability.expectedIn, kShortestReview));
+    return PlacementVerdict::deferred(availability.expectedIn, kReason);
 }
 
 PlacementVerdict WarmupPolicy::mayBegin(const pooling::PlacedUnit& unit,
@@ -106,7 +106,7 @@
                                 const pooling::ServerAnnouncement& server) const {
     const TimePoint now = _clock.now();
     return _servers.groups().contains(group) && _servers.hasWarm(group, now) &&
-           _servers.toldUntil(group, server.address.server) > now + kWorthMoving;
+           _servers.announcedUntil(group, server.address.server) > now + kWorthMoving;
 }
 
 TimePoint WarmupPolicy::nextReview() const {
--- a/src/placement/WarmupPolicy.h
+++ b/src/placement/WarmupPolicy.h
@@ -77,7 +77,7 @@
 private:
     pooling::PlacementVerdict verdictOf(const pooling::PlacedUnit& unit,
                                         const pooling::PlacedServer& server,
-                                        const warmup::RequestWish& wish, TimePoint now);
+                                        const warmup::UnitDemand& demand, TimePoint now);
 
     void logWithoutUnit(const pooling::PlacedUnit& unit, const pooling::PlacedServer& server);
 
--- a/src/pooling/PoolerAdmission.cpp
+++ b/src/pooling/PoolerAdmission.cpp
@@ -105,10 +105,10 @@
 /** Refuses those of the group's waiting statements that are not expected to start in time. */
 void StatementPooler::reviewWaits(GroupState& group) {
     const TimePoint now = _clock.now();
-    if (group.waiting.empty() || !group.admission.isDue(now)) {
+    if (group.waiting.empty() || !group.admission.isReviewDue(now)) {
         return;
     }
-    std::vector<admission::Applicant> applicants;
+    std::vector<admission::QueuedStatement> applicants;
     for (const SessionId id : group.waiting.order(now)) {
         const PooledSession* session = findSession(id);
         if (session != nullptr && isQueued(*session)) {
@@ -117,7 +117,7 @@
                                   latestStart(*session), obstacleWithoutQueue(operation)});
         }
     }
-    for (const admission::ForecastRefusal& refusal : group.admission.look(now, applicants)) {
+    for (const admission::ForecastRefusal& refusal : group.admission.review(now, applicants)) {
         PooledSession& session = _sessions.at(refusal.session);
         group.waiting.remove(refusal.session);
         session.operation->forecast = refusal.forecast;
@@ -134,10 +134,11 @@
     const auto pause = leaderless ? kComeBackAfterPromotion : kComeBackAfterOverload;
     const TimePoint now = _clock.now();
     const bool queued = obstacleWithoutQueue(*session.operation).empty() && !leaderless;
-    session.operation->forecast = group.admission.waitOfNext(statementClassOf(session), now);
+    session.operation->forecast =
+        group.admission.waitOfNewStatement(statementClassOf(session), now);
     group.waiting.remove(session.id);
-    refuseQueued(session, queued ? group.admission.turnAfter(now, statementClassOf(session),
-                                                             session.operation->forecast)
+    refuseQueued(session, queued ? group.admission.nextRetryDelay(now, statementClassOf(session),
+                                                                  session.operation->forecast)
                                  : pause);
 }
 
--- a/src/warmup/ColdServers.cpp
+++ b/src/warmup/ColdServers.cpp
@@ -41,7 +41,7 @@
         Known& server = entry->second;
         if (added || announcement.version > server.version) {
             server.version = announcement.version;
-            server.toldUntil = now + announcement.coldFor;
+            server.announcedUntil = now + announcement.coldFor;
             server.suspectedUntil = TimePoint{};
             server.mayHaveRestarted = false;
             noteCold(group, name, server, now);
@@ -60,10 +60,10 @@
         .field("group", group)
         .field("server", server)
         .field("lost", known.mayHaveRestarted)
-        .field("for_ms",
-               std::chrono::duration_cast<std::chrono::milliseconds>(
-                   std::max(Duration(0), std::max(known.toldUntil, known.suspectedUntil) - now))
-                   .count());
+        .field("for_ms", std::chrono::duration_cast<std::chrono::milliseconds>(
+                             std::max(Duration(0),
+                                      std::max(known.announcedUntil, known.suspectedUntil) - now))
+                             .count());
 }
 
 ColdServers::Known* ColdServers::find(const GroupName& group, const ServerName& server) {
@@ -91,7 +91,7 @@
 }
 
 bool ColdServers::isCold(const Known& known, TimePoint now) const {
-    return known.mayHaveRestarted || now < std::max(known.toldUntil, known.suspectedUntil);
+    return known.mayHaveRestarted || now < std::max(known.announcedUntil, known.suspectedUntil);
 }
 
 bool ColdServers::isCold(const GroupName& group, const ServerName& server, TimePoint now) const {
@@ -99,9 +99,9 @@
     return known != nullptr && isCold(*known, now);
 }
 
-TimePoint ColdServers::toldUntil(const GroupName& group, const ServerName& server) const {
+TimePoint ColdServers::announcedUntil(const GroupName& group, const ServerName& server) const {
     const Known* known = find(group, server);
-    return known == nullptr ? TimePoint{} : known->toldUntil;
+    return known == nullptr ? TimePoint{} : known->announcedUntil;
 }
 
 bool ColdServers::hasWarm(const GroupName& group, TimePoint now) const {
@@ -154,8 +154,8 @@
         if (const auto servers = _servers.find(group); servers != _servers.end()) {
             for (const auto& [name, known] : servers->second) {
                 const bool ends = known.isWarming && !known.mayHaveRestarted;
-                next =
-                    ends ? std::min(next, std::max(known.toldUntil, known.suspectedUntil)) : next;
+                next = ends ? std::min(next, std::max(known.announcedUntil, known.suspectedUntil))
+                            : next;
             }
         }
     }
--- a/src/warmup/ColdServers.h
+++ b/src/warmup/ColdServers.h
@@ -55,7 +55,7 @@
      * @return until when the server's own entry declares it cold; a time in the past where it does
      * not.
      */
-    TimePoint toldUntil(const GroupName& group, const ServerName& server) const;
+    TimePoint announcedUntil(const GroupName& group, const ServerName& server) const;
 
     /** @return whether a server of the group takes work and is warm. */
     bool hasWarm(const GroupName& group, TimePoint now) const;
@@ -92,7 +92,7 @@
         StoreVersion version;
         /** The end of the cold time by the server's entry, and by a connection opened after all
          * were lost. */
-        TimePoint toldUntil{};
+        TimePoint announcedUntil{};
         TimePoint suspectedUntil{};
         bool serves = false;
         /** This node has no connection to the server: it may have restarted. */
--- a/src/warmup/RequestUnits.h
+++ b/src/warmup/RequestUnits.h
@@ -9,7 +9,7 @@
 namespace coralhoist::warmup {
 
 /** Requests that are to be sent. */
-struct RequestWish {
+struct UnitDemand {
     /** Number of units that must be available. */
     std::uint32_t count = 1;
     /** Rank of the requests' service; lower ranks go first. */
@@ -17,8 +17,8 @@
 };
 
 /** Whether the requests may be sent. */
-struct RequestProspect {
-    bool isAtHand = false;
+struct UnitAvailability {
+    bool isAvailable = false;
     /** If they may not be sent: expected time until they may. */
     Duration expectedIn{0};
 };
@@ -30,8 +30,8 @@
     virtual ~RequestUnits() = default;
 
     /** Requests units if too few are available. @return whether enough are available. */
-    virtual RequestProspect look(const GroupName& group, const ServerName& server,
-                                 const RequestWish& wish) = 0;
+    virtual UnitAvailability look(const GroupName& group, const ServerName& server,
+                                  const UnitDemand& demand) = 0;
 
     /** Consumes one unit for a request that is sent now. @return whether there was one. */
     virtual bool take(const GroupName& group, const ServerName& server) = 0;
--- a/tests/admission/AdmissionPolicyTest.cpp
+++ b/tests/admission/AdmissionPolicyTest.cpp
@@ -20,25 +20,26 @@
     AdmissionPolicy policy;
 
     /** @return a late statement with this time left. */
-    Applicant late(std::uint64_t session, Duration timeLeft) const {
+    QueuedStatement late(std::uint64_t session, Duration timeLeft) const {
         return {SessionId(session), kReads, clock.now(), clock.now() + timeLeft, {}};
     }
-    Applicant hindered(std::uint64_t session, Duration timeLeft) const {
+    QueuedStatement hindered(std::uint64_t session, Duration timeLeft) const {
         return {SessionId(session), kReads, clock.now() + kObjective, clock.now() + timeLeft,
                 "no_primary"};
     }
-    std::vector<Applicant> manyLate(std::size_t count, Duration timeLeft) const {
-        std::vector<Applicant> applicants;
+    std::vector<QueuedStatement> manyLate(std::size_t count, Duration timeLeft) const {
+        std::vector<QueuedStatement> statements;
         for (std::size_t index = 0; index < count; ++index) {
-            applicants.push_back(late(index + 1, timeLeft));
+            statements.push_back(late(index + 1, timeLeft));
         }
-        return applicants;
+        return statements;
     }
     /** Keeps this many statements without a deadline queued for the span; one starts at each
      * review. */
     void watch(Duration span, std::size_t waiting, bool starting = true) {
         for (Duration watched(0); watched < span; watched += kLook) {
-            CHECK_TRUE(policy.look(clock.now(), manyLate(waiting, std::chrono::hours(1))).empty());
+            CHECK_TRUE(
+                policy.review(clock.now(), manyLate(waiting, std::chrono::hours(1))).empty());
             if (starting) {
                 policy.noteStart(kReads, Lane::Late);
             }
@@ -46,29 +47,29 @@
         }
     }
     /** The primary is missing for the span; after it nothing is blocked for as long. */
-    void loseThePrimary(Duration span) {
+    void losePrimary(Duration span) {
         for (Duration lost(0); lost < span; lost += kLook) {
-            policy.look(clock.now(), {hindered(1, std::chrono::hours(1))});
+            policy.review(clock.now(), {hindered(1, std::chrono::hours(1))});
             clock.advance(kLook);
         }
         clock.advance(std::chrono::seconds(1));
-        policy.look(clock.now(), {});
+        policy.review(clock.now(), {});
     }
 };
 
 TEST(AdmissionPolicy, WithoutAnObservationNothingIsRefused) {
-    CHECK_TRUE(policy.look(clock.now(), manyLate(500, milliseconds(1))).empty());
+    CHECK_TRUE(policy.review(clock.now(), manyLate(500, milliseconds(1))).empty());
 }
 
 TEST(AdmissionPolicy, WhatWillStartInTimeWaits) {
     watch(milliseconds(1000), 20);
-    CHECK_TRUE(policy.look(clock.now(), manyLate(20, milliseconds(250))).empty());
+    CHECK_TRUE(policy.review(clock.now(), manyLate(20, milliseconds(250))).empty());
 }
 
 TEST(AdmissionPolicy, WhatWillNotStartInTimeIsRefusedAtOnceWithItsForecast) {
     watch(milliseconds(1000), 100);
     const std::vector<ForecastRefusal> refusals =
-        policy.look(clock.now(), manyLate(100, milliseconds(250)));
+        policy.review(clock.now(), manyLate(100, milliseconds(250)));
     CHECK_FALSE(refusals.empty());
     // The statements ahead, of which one starts every 10 ms, stay queued.
     CHECK_TRUE(refusals.front().session > SessionId(25));
@@ -80,27 +81,27 @@
     watch(milliseconds(1000), 100);
     // From here on two statements start in the time of one.
     const std::vector<ForecastRefusal> refusals =
-        policy.look(clock.now(), manyLate(100, milliseconds(250)));
+        policy.review(clock.now(), manyLate(100, milliseconds(250)));
     CHECK_TRUE(refusals.front().session > SessionId(50));
 }
 
 TEST(AdmissionPolicy, ALaneThatGetsNothingIsWatchedBeforeAnythingIsInferred) {
     watch(milliseconds(100), 1, false);
-    CHECK_TRUE(policy.look(clock.now(), manyLate(1, milliseconds(600))).empty());
+    CHECK_TRUE(policy.review(clock.now(), manyLate(1, milliseconds(600))).empty());
     watch(milliseconds(3000), 20, false);
-    CHECK_FALSE(policy.look(clock.now(), manyLate(20, milliseconds(600))).empty());
+    CHECK_FALSE(policy.review(clock.now(), manyLate(20, milliseconds(600))).empty());
 }
 
 TEST(AdmissionPolicy, AnObservationExpires) {
     watch(milliseconds(3000), 20, false);
     clock.advance(std::chrono::seconds(20));
-    CHECK_TRUE(policy.look(clock.now(), manyLate(100, milliseconds(250))).empty());
+    CHECK_TRUE(policy.review(clock.now(), manyLate(100, milliseconds(250))).empty());
 }
 
-TEST(AdmissionPolicy, TurnsFollowEachOtherAtThePaceOfStartsWithinABound) {
+TEST(AdmissionPolicy, RetryTimesFollowTheStartIntervalWithinABound) {
     watch(milliseconds(1000), 100);
     const std::vector<ForecastRefusal> refusals =
-        policy.look(clock.now(), manyLate(100, milliseconds(100)));
+        policy.review(clock.now(), manyLate(100, milliseconds(100)));
     CHECK_TRUE(refusals.size() > 10);
     for (std::size_t index = 1; index < refusals.size(); ++index) {
         CHECK_TRUE(refusals[index].retryAfter > refusals[index - 1].retryAfter);
@@ -110,46 +111,47 @@
 }
 
 TEST(AdmissionPolicy, AnObstacleIsNoReasonToRefuseUntilItsUsualTimeIsKnown) {
-    CHECK_TRUE(policy.look(clock.now(), {hindered(1, milliseconds(50))}).empty());
-    loseThePrimary(milliseconds(800));
-    CHECK_TRUE(policy.look(clock.now(), {hindered(1, milliseconds(50))}).empty());
+    CHECK_TRUE(policy.review(clock.now(), {hindered(1, milliseconds(50))}).empty());
+    losePrimary(milliseconds(800));
+    CHECK_TRUE(policy.review(clock.now(), {hindered(1, milliseconds(50))}).empty());
 }
 
 TEST(AdmissionPolicy, AnObstacleThatUsuallyOutlastsTheStatementRefusesItAtOnce) {
     for (int loss = 0; loss < 3; ++loss) {
-        loseThePrimary(milliseconds(3000));
+        losePrimary(milliseconds(3000));
     }
-    const std::vector<ForecastRefusal> refusals =
-        policy.look(clock.now(), {hindered(1, milliseconds(500)), hindered(2, milliseconds(5000))});
+    const std::vector<ForecastRefusal> refusals = policy.review(
+        clock.now(), {hindered(1, milliseconds(500)), hindered(2, milliseconds(5000))});
     LONGS_EQUAL(1, refusals.size());
     LONGS_EQUAL(1, refusals[0].session.value());
     CHECK_TRUE(refusals[0].retryAfter >= milliseconds(2900));
 }
 
-TEST(AdmissionPolicy, AnObstacleThatOutlastsItsUsualTimeTellsNothing) {
+TEST(AdmissionPolicy, AnObstacleThatOutlastsItsUsualTimeGivesNoForecast) {
     for (int loss = 0; loss < 3; ++loss) {
-        loseThePrimary(milliseconds(200));
+        losePrimary(milliseconds(200));
     }
     for (Duration lasted(0); lasted < milliseconds(300); lasted += kLook) {
-        policy.look(clock.now(), {hindered(1, milliseconds(500))});
+        policy.review(clock.now(), {hindered(1, milliseconds(500))});
         clock.advance(kLook);
     }
-    CHECK_TRUE(policy.look(clock.now(), {hindered(1, milliseconds(1))}).empty());
+    CHECK_TRUE(policy.review(clock.now(), {hindered(1, milliseconds(1))}).empty());
 }
 
 /** No review takes place while the queue is empty: a block that is seen after such a pause counts
  * as a new obstacle. */
-TEST(AdmissionPolicy, ObstaclesWithACalmTimeBetweenThemAreNotOne) {
+TEST(AdmissionPolicy, ObstaclesWithAPauseBetweenThemAreSeparate) {
     for (int proof = 0; proof < 8; ++proof) {
-        CHECK_TRUE(policy.look(clock.now(), {hindered(1, milliseconds(500))}).empty());
+        CHECK_TRUE(policy.review(clock.now(), {hindered(1, milliseconds(500))}).empty());
         clock.advance(std::chrono::seconds(10));
     }
 }
 
-TEST(AdmissionPolicy, TurnsOfThoseThatAreLateFollowEachOtherToo) {
+TEST(AdmissionPolicy, RetryTimesOfLateStatementsFollowEachOtherToo) {
     watch(milliseconds(1000), 100);
-    const Duration first = policy.turnAfter(clock.now(), kReads, milliseconds(100));
-    CHECK_TRUE(policy.turnAfter(clock.now(), kReads, milliseconds(100)) > first + milliseconds(1));
+    const Duration first = policy.nextRetryDelay(clock.now(), kReads, milliseconds(100));
+    CHECK_TRUE(policy.nextRetryDelay(clock.now(), kReads, milliseconds(100)) >
+               first + milliseconds(1));
 }
 
 }  // namespace coralhoist::admission
--- a/tests/admission/OverloadTest.cpp
+++ b/tests/admission/OverloadTest.cpp
@@ -27,11 +27,11 @@
 constexpr Duration kTimeout = milliseconds(1000);
 constexpr Duration kObjective = milliseconds(200);
 constexpr Duration kOnTime = milliseconds(100);
-/** Callers give up after `kPatience`, whatever retry time they were given. They retry at most
- * twice, after `kReturn`. */
-constexpr Duration kPatience = milliseconds(1200);
-constexpr Duration kReturn = milliseconds(120);
-constexpr int kReturns = 2;
+/** Callers give up after `kCallerTimeout`, whatever retry time they were given. They retry at most
+ * twice, after `kRetryDelay`. */
+constexpr Duration kCallerTimeout = milliseconds(1200);
+constexpr Duration kRetryDelay = milliseconds(120);
+constexpr int kMaxRetries = 2;
 const StatementClass kFlow{ServiceName("orders"), 0};
 
 enum class Order { AsItStands, EarliestDeadline, LastInPastOverload, FirstInFirstOut };
@@ -44,8 +44,8 @@
     /** Arrival of the present attempt, which determines its position. */
     TimePoint arrivedAt{};
     TimePoint queuedAt{};
-    TimePoint comesAt{};
-    int returns = 0;
+    TimePoint retryAt{};
+    int retries = 0;
 };
 
 struct Outcome {
@@ -78,7 +78,7 @@
         int sent = 0;
         while (_elapsed < kPlay) {
             arrive(sent);
-            comeBack();
+            retryRefused();
             finish();
             place();
             refuse();
@@ -107,19 +107,20 @@
         }
     }
 
-    void comeBack() {
+    void retryRefused() {
         const TimePoint now = _clock.now();
         for (auto& [session, caller] : _callers) {
-            if (!_waiting.contains(session) && caller.comesAt > TimePoint{} &&
-                now >= caller.comesAt && caller.returns > 0 && now - caller.firstAt < kPatience) {
+            if (!_waiting.contains(session) && caller.retryAt > TimePoint{} &&
+                now >= caller.retryAt && caller.retries > 0 &&
+                now - caller.firstAt < kCallerTimeout) {
                 caller.arrivedAt = now;
                 caller.queuedAt = _admission == Admission::FixedShare ? now : caller.firstAt;
-                caller.comesAt = TimePoint{};
+                caller.retryAt = TimePoint{};
                 enqueue(session);
             }
         }
         std::erase_if(_waiting, [&](const auto& entry) {
-            return now - _callers.at(entry.first).firstAt >= kPatience;
+            return now - _callers.at(entry.first).firstAt >= kCallerTimeout;
         });
     }
 
@@ -134,7 +135,7 @@
             const Caller& caller = _callers.at(_running.front().first);
             _running.pop_front();
             const Duration took = _clock.now() - caller.firstAt;
-            if (took < kPatience) {
+            if (took < kCallerTimeout) {
                 ++_outcome.served;
                 _outcome.inObjective += took <= kObjective ? 1 : 0;
             }
@@ -192,16 +193,16 @@
             return;
         }
         refuseWhere([&](const Caller& caller) { return now >= latestStart(caller); });
-        if (_admission != Admission::Forecast || !_policy.isDue(now)) {
+        if (_admission != Admission::Forecast || !_policy.isReviewDue(now)) {
             return;
         }
-        std::vector<Applicant> applicants;
+        std::vector<QueuedStatement> statements;
         for (const SessionId session : ordered()) {
             const Caller& caller = _callers.at(session);
-            applicants.push_back(
+            statements.push_back(
                 {session, kFlow, caller.queuedAt + kOnTime, latestStart(caller), {}});
         }
-        for (const ForecastRefusal& refusal : _policy.look(now, applicants)) {
+        for (const ForecastRefusal& refusal : _policy.review(now, statements)) {
             refuseOne(refusal.session);
         }
     }
@@ -231,9 +232,9 @@
         _outcome.refusalAges.push_back(_clock.now() - caller.arrivedAt);
         const Duration asked = _clock.now() - caller.firstAt;
         _outcome.longestRefused = std::max(_outcome.longestRefused, asked);
-        if (caller.returns < kReturns) {
-            ++caller.returns;
-            caller.comesAt = _clock.now() + kReturn;
+        if (caller.retries < kMaxRetries) {
+            ++caller.retries;
+            caller.retryAt = _clock.now() + kRetryDelay;
         }
     }
 
@@ -275,7 +276,7 @@
     const int wronglyRefused = held.served - forecast.served;
     const int turnedAway = forecast.asked - forecast.served;
     CHECK_TRUE(wronglyRefused * 4 <= turnedAway);
-    CHECK_TRUE(forecast.longestRefused <= kPatience);
+    CHECK_TRUE(forecast.longestRefused <= kCallerTimeout);
 }
 
 /** Statements that would be served late without refusals are still served late with them. */
@@ -290,7 +291,7 @@
 }
 
 /** A retry that counts as a new statement displaces younger statements and makes them late. */
-TEST(Overload, ReturnsInTurnLeaveMoreInTheirObjective) {
+TEST(Overload, RetriesQueuedByFirstAttemptLeaveMoreInTheirObjective) {
     const Outcome fixed =
         play("70% of the timeout, as it stands", Order::AsItStands, Admission::FixedShare);
     const Outcome forecast = play("forecast, as it stands", Order::AsItStands, Admission::Forecast);
--- a/tests/admission/WaitingQueueTest.cpp
+++ b/tests/admission/WaitingQueueTest.cpp
@@ -46,7 +46,7 @@
     checkOrder({2, 1, 3});
 }
 
-TEST(WaitingQueue, AStatementThatWaitsAgainStandsOnceAndBehind) {
+TEST(WaitingQueue, AStatementAddedAgainIsQueuedOnceAtTheEnd) {
     add(1, 1, milliseconds(5));
     add(2, 1, milliseconds(5));
     add(1, 1, milliseconds(5));
--- a/tests/locality/BackgroundShareTest.cpp
+++ b/tests/locality/BackgroundShareTest.cpp
@@ -46,7 +46,7 @@
     CHECK_EQUAL(4000, takeAll());
 }
 
-TEST(BackgroundShare, BackgroundItselfEarnsNothing) {
+TEST(BackgroundShare, BackgroundTrafficRaisesNoAllowance) {
     takeAll();
     traffic.add(TrafficPurpose::LoadReports, TrafficDirection::Sent, 1000000);
     traffic.add(TrafficPurpose::Feeds, TrafficDirection::Received, 1000000);
--- a/tests/locality/EvacuatedZonesTest.cpp
+++ b/tests/locality/EvacuatedZonesTest.cpp
@@ -54,7 +54,7 @@
     check(ZoneUse::Closed, first);
 }
 
-TEST(EvacuatedZones, KnowledgeThatIsOldLeavesNoTime) {
+TEST(EvacuatedZones, AnOldProofLeavesNoTime) {
     provenAt = now - milliseconds(3600);
     write(first, {0, 11});
     check(ZoneUse::Closed, first);
@@ -87,7 +87,7 @@
     check(ZoneUse::Closed, first);
 }
 
-TEST(EvacuatedZones, WhatIsLateBringsNothingBack) {
+TEST(EvacuatedZones, ALateMessageRestoresNoEvacuation) {
     write(first, {0, 11});
     zones.takeRemoval(first, {0, 14});
     write(first, {0, 11});
@@ -98,7 +98,7 @@
     check(ZoneUse::Free, first);
 }
 
-TEST(EvacuatedZones, InSeriesEachAskingHasItsOwnTime) {
+TEST(EvacuatedZones, EachEvacuationInASeriesHasItsOwnDeadline) {
     std::uint64_t revision = 10;
     for (int round = 0; round < 3; ++round) {
         provenAt = now;
@@ -115,7 +115,7 @@
     UNSIGNED_LONGS_EQUAL(7, zones.changes());
 }
 
-TEST(EvacuatedZones, AllZonesMayBeAskedFor) {
+TEST(EvacuatedZones, AllZonesMayBeEvacuated) {
     list({{first, {0, 11}}, {second, {0, 12}}}, {0, 12});
     check(ZoneUse::Leaving, first);
     check(ZoneUse::Leaving, second);
@@ -137,7 +137,7 @@
     check(ZoneUse::Free, first);
 }
 
-TEST(EvacuatedZones, WrittenAgainAfterAReturnItGoesOnAndKeepsItsTime) {
+TEST(EvacuatedZones, WrittenAgainAfterARestoreItKeepsItsDeadline) {
     list({{first, {1, 11}}}, {1, 20});
     const auto closing = zones.nextClosing(now);
     pass(milliseconds(500));
@@ -150,7 +150,7 @@
     CHECK_TRUE(closing == zones.nextClosing(now));
 }
 
-TEST(EvacuatedZones, ASecondReturnStartsTheWaitAnew) {
+TEST(EvacuatedZones, ASecondRestoreRestartsTheWait) {
     list({{first, {1, 11}}}, {1, 20});
     list({}, {2, 9});
     pass(milliseconds(500));
--- a/tests/locality/PlaceDistancesTest.cpp
+++ b/tests/locality/PlaceDistancesTest.cpp
@@ -26,7 +26,7 @@
     }
 };
 
-TEST(PlaceDistances, WithoutAMeasurementTheRegionsTell) {
+TEST(PlaceDistances, WithoutAMeasurementTheRegionsDetermineTheRoundTrip) {
     CHECK_TRUE(distances.to(ZoneName("north-2"), now).time == Duration(0));
     CHECK_TRUE(distances.to(ZoneName("unknown"), now).time == Duration(0));
     CHECK_TRUE(distances.to(south, now).time > Duration(0));
@@ -42,7 +42,7 @@
     CHECK_FALSE(distances.to(ZoneName("west-1"), now).isMeasured());
 }
 
-TEST(PlaceDistances, ACrowdOrARetransmissionDoesNotMoveARegionAway) {
+TEST(PlaceDistances, ABurstOrARetransmissionDoesNotRaiseTheRoundTrip) {
     note(milliseconds(60));
     now += seconds(1);
     note(milliseconds(900));
@@ -52,7 +52,7 @@
     expect(milliseconds(60));
 }
 
-TEST(PlaceDistances, ALinkThatStaysSlowIsBelieved) {
+TEST(PlaceDistances, ALinkThatStaysSlowRaisesTheRoundTrip) {
     note(milliseconds(60));
     for (int second = 0; second < 12; ++second) {
         now += seconds(1);
--- a/tests/locality/RegionMapTest.cpp
+++ b/tests/locality/RegionMapTest.cpp
@@ -18,7 +18,7 @@
     CHECK_FALSE(RegionMap().hasSeveralRegions());
 }
 
-TEST(RegionMap, AZoneThatIsNotKnownIsNearItselfAlone) {
+TEST(RegionMap, AnUnknownZoneSharesARegionWithItselfOnly) {
     CHECK_TRUE(regions.areInOneRegion(ZoneName("north-1"), ZoneName("north-2")));
     CHECK_FALSE(regions.areInOneRegion(ZoneName("north-1"), ZoneName("south-1")));
     CHECK_FALSE(regions.areInOneRegion(ZoneName("north-1"), ZoneName("elsewhere")));
--- a/tests/placement/EvacuationPolicyTest.cpp
+++ b/tests/placement/EvacuationPolicyTest.cpp
@@ -111,7 +111,7 @@
     CHECK_TRUE(readAt(ServerName("s3"), left).isForbidden());
 }
 
-TEST(EvacuationPolicy, AllZonesAskedForNothingIsSentAnywhere) {
+TEST(EvacuationPolicy, WithAllZonesEvacuatedNothingIsSentAnywhere) {
     evacuate(left, kBound);
     evacuate(other, kBound);
     CHECK_TRUE(write().isForbidden());
@@ -138,7 +138,7 @@
     CHECK_TRUE(policy.mayForwardTo({group, service, tenant, 0, true}, left));
 }
 
-TEST(EvacuationPolicy, TellsWhenVerdictsChangeAndCountsWhatIsSent) {
+TEST(EvacuationPolicy, ReportsWhenVerdictsChangeAndCountsSentStatements) {
     CHECK_FALSE(progress.advance(clock.now()));
     CHECK_FALSE(progress.nextTick().has_value());
     evacuate(left);
@@ -166,7 +166,7 @@
     CHECK_TRUE(progress.gauges(clock.now()).empty());
 }
 
-TEST(EvacuationPolicy, GivenBackAndAskedForAgainIsAnEvacuationOfItsOwn) {
+TEST(EvacuationPolicy, AZoneEvacuatedAgainCountsAsANewEvacuation) {
     evacuate(left, kBound);
     progress.advance(clock.now());
     send(primary, left);
--- a/tests/placement/HomePolicyTest.cpp
+++ b/tests/placement/HomePolicyTest.cpp
@@ -101,7 +101,7 @@
     CHECK_TRUE(begin(unit(service, false, tenant), true).isForbidden());
 }
 
-TEST(HomePolicy, HomesWithoutARegionInCommonAreSaidSo) {
+TEST(HomePolicy, HomesWithoutARegionInCommonAreReported) {
     bindTenant({kNorth});
     for (const bool atNorth : {false, true}) {
         const PlacementVerdict verdict = begin(unit(service, true, tenant), atNorth, true);
@@ -112,7 +112,7 @@
     CHECK_FALSE(policy.mayForwardTo(unit(service, false, tenant), kSouthZone));
 }
 
-TEST(HomePolicy, ARegionThatNoServerOfTheGroupHasIsSaidSo) {
+TEST(HomePolicy, AHomeRegionWithoutAServerIsReported) {
     bind(service, {kWest});
     CHECK_TRUE(writeInNorth().isForbidden());
     STRCMP_EQUAL("no_server_in_home_regions", writeInNorth().reason);
@@ -126,7 +126,7 @@
     STRCMP_EQUAL("no_server_in_home_regions", writeInNorth().reason);
 }
 
-TEST(HomePolicy, WhatNeedsAPrimaryThatWillMoveIsPutOff) {
+TEST(HomePolicy, StatementsForAPrimaryThatWillMoveAreDeferred) {
     const PlacementVerdict verdict = writeInNorth();
     CHECK_TRUE(PlacementVerdict::Kind::Deferred == verdict.kind);
     STRCMP_EQUAL("primary_outside_home_regions", verdict.reason);
@@ -179,7 +179,7 @@
     CHECK_TRUE(policy.mayContinue(unit(service), {south, kSouthZone, false}).isAllowed());
 }
 
-TEST(HomePolicy, OnlyNodesInAHomeAreShownStatements) {
+TEST(HomePolicy, StatementsAreForwardedOnlyToNodesInAHome) {
     CHECK_TRUE(policy.mayForwardTo(unit(service), kSouthZone));
     CHECK_FALSE(policy.mayForwardTo(unit(service), kNorthZone));
     CHECK_FALSE(policy.mayForwardTo(unit(service), ZoneName()));
@@ -187,7 +187,7 @@
     UNSIGNED_LONGS_EQUAL(2, policy.statistics().nodesRuledOut);
 }
 
-TEST(HomePolicy, WordsOfServersAboutBoundStatementsAreNotLogged) {
+TEST(HomePolicy, ServerMessagesAboutStatementsWithHomesAreNotLogged) {
     bindTenant({kSouth});
     CHECK_FALSE(policy.mayLogAnswers(unit(service)));
     CHECK_FALSE(policy.mayLogAnswers(unit(free, false, tenant)));
--- a/tests/placement/PolicyChainTest.cpp
+++ b/tests/placement/PolicyChainTest.cpp
@@ -86,7 +86,7 @@
     LONGS_EQUAL(0, first.asked);
 }
 
-TEST(PolicyChain, AllAgreeToANodeAndAllAreToldWhatIsSent) {
+TEST(PolicyChain, AllPoliciesMustAllowANodeAndAllAreNotifiedOfSentStatements) {
     CHECK_TRUE(chain.mayForwardTo(unit, zone));
     second.forwards = false;
     CHECK_FALSE(chain.mayForwardTo(unit, zone));
--- a/tests/placement/WarmupPolicyTest.cpp
+++ b/tests/placement/WarmupPolicyTest.cpp
@@ -19,10 +19,10 @@
 /** Grants the units that the test provides. */
 class FakeUnits final : public warmup::RequestUnits {
 public:
-    warmup::RequestProspect look(const GroupName&, const ServerName& server,
-                                 const warmup::RequestWish& wish) override {
-        lastWish = wish;
-        return {units[server] >= wish.count, expectedIn};
+    warmup::UnitAvailability look(const GroupName&, const ServerName& server,
+                                  const warmup::UnitDemand& demand) override {
+        lastDemand = demand;
+        return {units[server] >= demand.count, expectedIn};
     }
     bool take(const GroupName&, const ServerName& server) override {
         if (units[server] == 0) {
@@ -34,7 +34,7 @@
 
     std::map<ServerName, std::uint32_t> units;
     Duration expectedIn = milliseconds(70);
-    warmup::RequestWish lastWish;
+    warmup::UnitDemand lastDemand;
 };
 
 }  // namespace
@@ -112,9 +112,9 @@
 TEST(WarmupPolicy, AnOpenTransactionGoesBeforeWhatBegins) {
     hear(seconds(6), Duration(0));
     policy.mayBegin(write, primary);
-    UNSIGNED_LONGS_EQUAL(3, units.lastWish.rank);
+    UNSIGNED_LONGS_EQUAL(3, units.lastDemand.rank);
     policy.mayContinue(transaction, primary);
-    UNSIGNED_LONGS_EQUAL(0, units.lastWish.rank);
+    UNSIGNED_LONGS_EQUAL(0, units.lastDemand.rank);
 }
 
 TEST(WarmupPolicy, ReadsGoToAWarmServer) {
--- a/tests/warmup/ColdServersTest.cpp
+++ b/tests/warmup/ColdServersTest.cpp
@@ -36,14 +36,14 @@
     }
 };
 
-TEST(ColdServers, AServerIsColdForWhatItsEntryTellsFromWhenItWasHeard) {
+TEST(ColdServers, AServerIsColdForTheTimeInItsEntryFromItsReceipt) {
     hear(seconds(4), 1, start);
     CHECK_TRUE(isColdAt(milliseconds(3999)));
     CHECK_FALSE(isColdAt(seconds(4)));
     CHECK_TRUE(servers.nextWarm() == start + seconds(4));
 }
 
-TEST(ColdServers, AServerThatHasBecomeWarmIsToldOnce) {
+TEST(ColdServers, AServerThatHasBecomeWarmIsReturnedOnce) {
     hear(seconds(4), 1, start);
     UNSIGNED_LONGS_EQUAL(0, servers.takeWarmed(start + seconds(3)).size());
     UNSIGNED_LONGS_EQUAL(1, servers.takeWarmed(start + seconds(4)).size());
@@ -51,13 +51,13 @@
     CHECK_TRUE(servers.nextWarm() == TimePoint::max());
 }
 
-TEST(ColdServers, HearingTheSameVersionAgainProlongsNothing) {
+TEST(ColdServers, ReceivingTheSameVersionAgainProlongsNothing) {
     hear(seconds(4), 1, start);
     hear(seconds(4), 1, start + seconds(3));
     CHECK_FALSE(isColdAt(seconds(4)));
 }
 
-TEST(ColdServers, ANewerVersionThatSaysLessIsBelieved) {
+TEST(ColdServers, ANewerVersionWithAShorterTimeApplies) {
     hear(seconds(4), 1, start);
     hear(Duration(0), 2, start + seconds(1));
     CHECK_FALSE(isColdAt(seconds(1)));
@@ -87,7 +87,7 @@
     CHECK_FALSE(isColdAt(seconds(26)));
 }
 
-TEST(ColdServers, NoServerIsColdWhereTheSettingsTellNoRate) {
+TEST(ColdServers, NoServerIsColdWhereTheSettingsHaveNoRate) {
     servers.applyGroups({}, start);
     hear(seconds(4), 1, start);
     servers.noteLost(kGroup, kServer, start);
@@ -95,7 +95,7 @@
     UNSIGNED_LONGS_EQUAL(0, servers.coldCount(start));
 }
 
-TEST(ColdServers, AServerThatWasHeardBeforeTheSettingsToldARateIsToldWhenItBecomesWarm) {
+TEST(ColdServers, AServerListedBeforeTheSettingsHadARateIsReturnedWhenItBecomesWarm) {
     servers.applyGroups({}, start);
     hear(seconds(4), 1, start);
     servers.applyGroups({{kGroup, {10, seconds(6)}}}, start + seconds(1));
