--- a/src/placement/WarmupPolicy.cpp
+++ b/src/placement/WarmupPolicy.cpp
@@ -12,8 +12,8 @@
 constexpr const char* kReason = "cold_server";
 /** One unit for BEGIN and one for the next statement. */
 constexpr std::uint32_t kUnitsToBeginTransaction = 2;
-/** Statements of open transactions go first, because other statements wait for the locks that these
- * transactions hold. */
+/** Statements of open transactions go first, because the resources that these transactions hold
+ * stay occupied while their statements wait. */
 constexpr std::uint32_t kFirstRank = 0;
 /** Minimum interval between two reviews of the verdicts. */
 constexpr Duration kShortestReview = std::chrono::milliseconds(5);
