--- a/src/placement/PolicyChain.h
+++ b/src/placement/PolicyChain.h
@@ -15,13 +15,13 @@
 public:
     /** @param policy outlives the chain. */
     void add(pooling::PlacementPolicy& policy) {
-        _policies.insert(_policies.end() - _askedLast, &policy);
+        _policies.insert(_policies.end() - _lastPolicyCount, &policy);
     }
     /** Adds a policy that is consulted after all others, and not for units that one of them
      * forbids. */
     void addLast(pooling::PlacementPolicy& policy) {
         _policies.push_back(&policy);
-        ++_askedLast;
+        ++_lastPolicyCount;
     }
     void add(failover::PrimaryPlacement& placement) { _placements.push_back(&placement); }
 
@@ -51,7 +51,7 @@
 
     std::vector<pooling::PlacementPolicy*> _policies;
     /** Number of policies at the end of the list that were added with `addLast`. */
-    std::ptrdiff_t _askedLast = 0;
+    std::ptrdiff_t _lastPolicyCount = 0;
     std::vector<failover::PrimaryPlacement*> _placements;
 };
 
--- a/tests/placement/WarmupPolicyTest.cpp
+++ b/tests/placement/WarmupPolicyTest.cpp
@@ -61,7 +61,7 @@
     }
 
     /** Both servers' entries have just been received. */
-    void hear(Duration firstCold, Duration secondCold) {
+    void receiveEntries(Duration firstCold, Duration secondCold) {
         servers.applyServers(group, {{first, listed(firstCold)}, {second, listed(secondCold)}},
                              clock.now());
     }
@@ -75,7 +75,7 @@
 };
 
 TEST(WarmupPolicy, AWarmServerTakesEverythingAndNoUnit) {
-    hear(Duration(0), seconds(6));
+    receiveEntries(Duration(0), seconds(6));
     CHECK_TRUE(policy.mayBegin(write, primary).isAllowed());
     CHECK_TRUE(policy.mayContinue(transaction, primary).isAllowed());
     policy.noteSent(write, primary);
@@ -83,7 +83,7 @@
 }
 
 TEST(WarmupPolicy, AColdServerTakesNothingWithoutAUnit) {
-    hear(seconds(6), Duration(0));
+    receiveEntries(seconds(6), Duration(0));
     const PlacementVerdict verdict = policy.mayBegin(write, primary);
     CHECK_TRUE(verdict.kind == PlacementVerdict::Kind::Deferred);
     CHECK_TRUE(verdict.expectedIn == milliseconds(70));
@@ -92,7 +92,7 @@
 }
 
 TEST(WarmupPolicy, EachStatementToAColdServerTakesAUnit) {
-    hear(seconds(6), Duration(0));
+    receiveEntries(seconds(6), Duration(0));
     units.units[first] = 1;
     CHECK_TRUE(policy.mayBegin(write, primary).isAllowed());
     policy.noteSent(write, primary);
@@ -102,7 +102,7 @@
 }
 
 TEST(WarmupPolicy, ATransactionBeginsWhereItsNextStatementHasAUnitToo) {
-    hear(seconds(6), Duration(0));
+    receiveEntries(seconds(6), Duration(0));
     units.units[first] = 1;
     CHECK_FALSE(policy.mayBegin(transaction, primary).isAllowed());
     units.units[first] = 2;
@@ -110,7 +110,7 @@
 }
 
 TEST(WarmupPolicy, AnOpenTransactionGoesBeforeWhatBegins) {
-    hear(seconds(6), Duration(0));
+    receiveEntries(seconds(6), Duration(0));
     policy.mayBegin(write, primary);
     UNSIGNED_LONGS_EQUAL(3, units.lastDemand.rank);
     policy.mayContinue(transaction, primary);
@@ -118,13 +118,13 @@
 }
 
 TEST(WarmupPolicy, ReadsGoToAWarmServer) {
-    hear(Duration(0), seconds(6));
+    receiveEntries(Duration(0), seconds(6));
     units.units[second] = 5;
     CHECK_TRUE(policy.mayBegin(read, replica).isForbidden());
 }
 
 TEST(WarmupPolicy, ReadsLeaveAColdPrimaryToWhatOnlyItRuns) {
-    hear(seconds(6), seconds(6));
+    receiveEntries(seconds(6), seconds(6));
     units.units[first] = 5;
     units.units[second] = 5;
     CHECK_TRUE(policy.mayBegin(read, primary).isForbidden());
@@ -133,14 +133,14 @@
 }
 
 TEST(WarmupPolicy, AColdServerIsReviewedWhenItBecomesWarm) {
-    hear(seconds(2), Duration(0));
+    receiveEntries(seconds(2), Duration(0));
     CHECK_TRUE(policy.nextReview() == clock.now() + seconds(2));
     clock.advance(seconds(2));
     CHECK_TRUE(policy.mayBegin(write, primary).isAllowed());
 }
 
 TEST(WarmupPolicy, AWarmServerLeadsBeforeAColdOne) {
-    hear(seconds(6), Duration(0));
+    receiveEntries(seconds(6), Duration(0));
     pooling::ServerAnnouncement announcement;
     announcement.address.server = first;
     CHECK_TRUE(policy.suitabilityOf(group, announcement) == LeadSuitability::Acceptable);
@@ -151,7 +151,7 @@
 TEST(WarmupPolicy, AColdPrimaryHandsOverWhereAWarmServerCanLead) {
     pooling::ServerAnnouncement announcement;
     announcement.address.server = first;
-    hear(seconds(6), Duration(0));
+    receiveEntries(seconds(6), Duration(0));
     CHECK_TRUE(policy.mustHandOver(group, announcement));
     clock.advance(seconds(4));
     CHECK_FALSE(policy.mustHandOver(group, announcement));
@@ -160,28 +160,28 @@
 TEST(WarmupPolicy, AColdPrimaryStaysWhereAllAreCold) {
     pooling::ServerAnnouncement announcement;
     announcement.address.server = first;
-    hear(seconds(6), seconds(6));
+    receiveEntries(seconds(6), seconds(6));
     CHECK_FALSE(policy.mustHandOver(group, announcement));
 }
 
 TEST(WarmupPolicy, APrimaryThatOneNodeHasLostStays) {
     pooling::ServerAnnouncement announcement;
     announcement.address.server = first;
-    hear(Duration(0), Duration(0));
+    receiveEntries(Duration(0), Duration(0));
     policy.noteServerLost(group, first);
     CHECK_FALSE(policy.mayBegin(write, primary).isAllowed());
     CHECK_FALSE(policy.mustHandOver(group, announcement));
 }
 
 TEST(WarmupPolicy, WithoutColdServersTheQuotasAreThoseOfTheTenants) {
-    hear(seconds(6), seconds(6));
+    receiveEntries(seconds(6), seconds(6));
     const auto tenants = std::make_shared<const tenancy::TenantDirectory>(1);
     servers.applyGroups({}, clock.now());
     POINTERS_EQUAL(tenants.get(), QuotaRequestUnits::quotasOf(tenants, servers, {1.5, 5}).get());
 }
 
 TEST(WarmupPolicy, EachServerThatMayBeColdHasAQuotaOfItsOwn) {
-    hear(seconds(6), Duration(0));
+    receiveEntries(seconds(6), Duration(0));
     const auto tenants = std::make_shared<const tenancy::TenantDirectory>(1);
     const auto quotas = QuotaRequestUnits::quotasOf(tenants, servers, {1.5, 5});
     UNSIGNED_LONGS_EQUAL(2, quotas->all().size());
@@ -192,7 +192,7 @@
 }
 
 TEST(WarmupPolicy, ATransactionThatRestsAsksForNoUnit) {
-    hear(seconds(6), Duration(0));
+    receiveEntries(seconds(6), Duration(0));
     CHECK_TRUE(policy.mayRest(transaction, primary).isAllowed());
     UNSIGNED_LONGS_EQUAL(0, policy.statistics().deferred);
     CHECK_TRUE(policy.nextReview() == clock.now() + seconds(6));
--- a/tests/warmup/ColdServersTest.cpp
+++ b/tests/warmup/ColdServersTest.cpp
@@ -21,7 +21,8 @@
         servers.applyGroups({{kGroup, {10, seconds(6)}}}, start);
     }
 
-    void hear(Duration coldFor, std::uint64_t version, TimePoint now, bool draining = false) {
+    void receiveEntry(Duration coldFor, std::uint64_t version, TimePoint now,
+                      bool draining = false) {
         pooling::ListedServer listed;
         listed.announcement.address.server = kServer;
         listed.announcement.address.group = kGroup;
@@ -37,14 +38,14 @@
 };
 
 TEST(ColdServers, AServerIsColdForTheTimeInItsEntryFromItsReceipt) {
-    hear(seconds(4), 1, start);
+    receiveEntry(seconds(4), 1, start);
     CHECK_TRUE(isColdAt(milliseconds(3999)));
     CHECK_FALSE(isColdAt(seconds(4)));
     CHECK_TRUE(servers.nextWarm() == start + seconds(4));
 }
 
 TEST(ColdServers, AServerThatHasBecomeWarmIsReturnedOnce) {
-    hear(seconds(4), 1, start);
+    receiveEntry(seconds(4), 1, start);
     UNSIGNED_LONGS_EQUAL(0, servers.takeWarmed(start + seconds(3)).size());
     UNSIGNED_LONGS_EQUAL(1, servers.takeWarmed(start + seconds(4)).size());
     UNSIGNED_LONGS_EQUAL(0, servers.takeWarmed(start + seconds(5)).size());
@@ -52,34 +53,34 @@
 }
 
 TEST(ColdServers, ReceivingTheSameVersionAgainProlongsNothing) {
-    hear(seconds(4), 1, start);
-    hear(seconds(4), 1, start + seconds(3));
+    receiveEntry(seconds(4), 1, start);
+    receiveEntry(seconds(4), 1, start + seconds(3));
     CHECK_FALSE(isColdAt(seconds(4)));
 }
 
 TEST(ColdServers, ANewerVersionWithAShorterTimeApplies) {
-    hear(seconds(4), 1, start);
-    hear(Duration(0), 2, start + seconds(1));
+    receiveEntry(seconds(4), 1, start);
+    receiveEntry(Duration(0), 2, start + seconds(1));
     CHECK_FALSE(isColdAt(seconds(1)));
 }
 
 TEST(ColdServers, AServerThatRestartsUnderItsNameIsColdAgain) {
-    hear(Duration(0), 1, start);
-    hear(seconds(6), 2, start + seconds(10));
+    receiveEntry(Duration(0), 1, start);
+    receiveEntry(seconds(6), 2, start + seconds(10));
     CHECK_TRUE(isColdAt(seconds(15)));
     CHECK_FALSE(isColdAt(seconds(16)));
 }
 
 TEST(ColdServers, AServerThatWasLostIsColdUntilItsEntryTellsOtherwise) {
-    hear(Duration(0), 1, start);
+    receiveEntry(Duration(0), 1, start);
     servers.noteLost(kGroup, kServer, start);
     CHECK_TRUE(isColdAt(seconds(100)));
-    hear(Duration(0), 2, start + seconds(2));
+    receiveEntry(Duration(0), 2, start + seconds(2));
     CHECK_FALSE(isColdAt(seconds(2)));
 }
 
 TEST(ColdServers, AServerThatWasLostIsColdForAWholeStartFromItsFirstConnection) {
-    hear(Duration(0), 1, start);
+    receiveEntry(Duration(0), 1, start);
     servers.noteLost(kGroup, kServer, start);
     servers.noteOpened(kGroup, kServer, start + seconds(20));
     servers.noteOpened(kGroup, kServer, start + seconds(25));
@@ -89,7 +90,7 @@
 
 TEST(ColdServers, NoServerIsColdWhereTheSettingsHaveNoRate) {
     servers.applyGroups({}, start);
-    hear(seconds(4), 1, start);
+    receiveEntry(seconds(4), 1, start);
     servers.noteLost(kGroup, kServer, start);
     CHECK_FALSE(isColdAt(Duration(0)));
     UNSIGNED_LONGS_EQUAL(0, servers.coldCount(start));
@@ -97,16 +98,16 @@
 
 TEST(ColdServers, AServerListedBeforeTheSettingsHadARateIsReturnedWhenItBecomesWarm) {
     servers.applyGroups({}, start);
-    hear(seconds(4), 1, start);
+    receiveEntry(seconds(4), 1, start);
     servers.applyGroups({{kGroup, {10, seconds(6)}}}, start + seconds(1));
     CHECK_TRUE(servers.nextWarm() == start + seconds(4));
     UNSIGNED_LONGS_EQUAL(1, servers.takeWarmed(start + seconds(4)).size());
 }
 
 TEST(ColdServers, AWarmServerThatDrainsTakesNoWork) {
-    hear(Duration(0), 1, start);
+    receiveEntry(Duration(0), 1, start);
     CHECK_TRUE(servers.hasWarm(kGroup, start));
-    hear(Duration(0), 2, start, true);
+    receiveEntry(Duration(0), 2, start, true);
     CHECK_FALSE(servers.hasWarm(kGroup, start));
     UNSIGNED_LONGS_EQUAL(0, servers.servingCount(kGroup));
 }
