--- a/src/admission/AdmissionPolicy.h
+++ b/src/admission/AdmissionPolicy.h
@@ -64,9 +64,9 @@
                                         const std::vector<QueuedStatement>& statements);
 
     /**
-     * @return the time after which a caller that is refused now should retry: the forecast, and at
-     * least one start interval after the retry time of the caller refused before, so that retries
-     * arrive at the rate at which statements start.
+     * @return the time after which a caller that is refused now should retry: the forecast or,
+     * within a bounded spread, one start interval after the retry time of the caller refused
+     * before, so that retries arrive at the rate at which statements start.
      */
     Duration nextRetryDelay(TimePoint now, const StatementClass& statementClass, Duration forecast);
 
