--- a/src/placement/WarmupPolicy.cpp
+++ b/src/placement/WarmupPolicy.cpp
@@ -10,30 +10,32 @@
 using pooling::PlacementVerdict;
 
 constexpr const char* kReason = "cold_server";
-/** BEGIN and the next statement. */
+/** One unit for BEGIN and one for the next statement. */
 constexpr std::uint32_t kUnitsToBeginTransaction = 2;
-/** Statements of open transactions go first: what they hold waits for them. */
+/** Statements of open transactions go first, because the resources that these transactions hold
+ * stay occupied while their statements wait. */
 constexpr std::uint32_t kFirstRank = 0;
-/** Verdicts are reviewed no more often. */
+/** Minimum interval between two reviews of the verdicts. */
 constexpr Duration kShortestReview = std::chrono::milliseconds(5);
 
 constexpr Duration kWithoutUnitLogEvery = std::chrono::seconds(1);
 
-/** A primary that is cold for less is left where it is: writes wait while it moves. */
+/** A primary that stays cold for less than this is not replaced, because writes wait during the
+ * move. */
 constexpr Duration kWorthMoving = std::chrono::seconds(2);
 
 }  // namespace
 
 PlacementVerdict WarmupPolicy::verdictOf(const pooling::PlacedUnit& unit,
                                          const pooling::PlacedServer& server,
-                                         const warmup::RequestWish& wish, TimePoint now) {
-    const warmup::RequestProspect prospect = _units.look(unit.group, server.server, wish);
-    if (prospect.isAtHand) {
+                                         const warmup::UnitDemand& demand, TimePoint now) {
+    const warmup::UnitAvailability availability = _units.look(unit.group, server.server, demand);
+    if (availability.isAvailable) {
         return PlacementVerdict::allowed();
     }
     ++_statistics.deferred;
-    _reviewAt = std::min(_reviewAt, now + std::max(prospect.expectedIn, kShortestReview));
-    return PlacementVerdict::deferred(prospect.expectedIn, kReason);
+    _reviewAt = std::min(_reviewAt, now + std::max(availability.expectedIn, kShortestReview));
+    return PlacementVerdict::deferred(availability.expectedIn, kReason);
 }
 
 PlacementVerdict WarmupPolicy::mayBegin(const pooling::PlacedUnit& unit,
@@ -72,7 +74,7 @@
     }
 }
 
-/** Each is counted; not each is logged. */
+/** Counts every statement, but limits the rate of log lines. */
 void WarmupPolicy::logWithoutUnit(const pooling::PlacedUnit& unit,
                                   const pooling::PlacedServer& server) {
     const TimePoint now = _clock.now();
@@ -104,7 +106,7 @@
                                 const pooling::ServerAnnouncement& server) const {
     const TimePoint now = _clock.now();
     return _servers.groups().contains(group) && _servers.hasWarm(group, now) &&
-           _servers.toldUntil(group, server.address.server) > now + kWorthMoving;
+           _servers.announcedUntil(group, server.address.server) > now + kWorthMoving;
 }
 
 TimePoint WarmupPolicy::nextReview() const {
--- a/src/pooling/PooledSession.h
+++ b/src/pooling/PooledSession.h
@@ -7,7 +7,7 @@
 #include <set>
 #include <string>
 
-#include "admission/FirstAsking.h"
+#include "admission/FirstAttempt.h"
 #include "base/Identifier.h"
 #include "base/OpTime.h"
 #include "base/Time.h"
@@ -153,7 +153,7 @@
      */
     std::optional<Duration> usefulFor;
     /** The statement that was refused, in case the caller retries it. */
-    admission::FirstAsking firstAsking;
+    admission::FirstAttempt firstAsking;
 };
 
 }  // namespace coralhoist::pooling
--- a/src/pooling/PoolerAdmission.cpp
+++ b/src/pooling/PoolerAdmission.cpp
@@ -125,10 +125,10 @@
 /** Refuses those of the group's queued statements that are not expected to start in time. */
 void StatementPooler::refuseByForecast(GroupState& group) {
     const TimePoint now = _clock.now();
-    if (group.waiting.empty() || !group.admission.isDue(now)) {
+    if (group.waiting.empty() || !group.admission.isReviewDue(now)) {
         return;
     }
-    std::vector<admission::Applicant> applicants;
+    std::vector<admission::QueuedStatement> applicants;
     for (const SessionId id : group.waiting.order(now)) {
         const PooledSession* session = findSession(id);
         if (session != nullptr && isQueued(*session)) {
@@ -137,7 +137,7 @@
                                   latestStart(*session), obstacleWithoutQueue(operation)});
         }
     }
-    for (const admission::ForecastRefusal& refusal : group.admission.look(now, applicants)) {
+    for (const admission::ForecastRefusal& refusal : group.admission.review(now, applicants)) {
         PooledSession& session = _sessions.at(refusal.session);
         group.waiting.remove(refusal.session);
         session.operation->forecast = refusal.forecast;
@@ -154,10 +154,11 @@
     const auto pause = withoutPrimary ? kRetryDelayAfterPromotion : kRetryDelayAfterOverload;
     const TimePoint now = _clock.now();
     const bool queued = obstacleWithoutQueue(*session.operation).empty() && !withoutPrimary;
-    session.operation->forecast = group.admission.waitOfNext(statementClassOf(session), now);
+    session.operation->forecast =
+        group.admission.waitOfNewStatement(statementClassOf(session), now);
     group.waiting.remove(session.id);
-    refuseQueued(session, queued ? group.admission.turnAfter(now, statementClassOf(session),
-                                                             session.operation->forecast)
+    refuseQueued(session, queued ? group.admission.nextRetryDelay(now, statementClassOf(session),
+                                                                  session.operation->forecast)
                                  : pause);
 }
 
--- a/tests/admission/OverloadTest.cpp
+++ b/tests/admission/OverloadTest.cpp
@@ -1,4 +1,4 @@
-/** Plays an overload of one group, order by order, and checks what callers get. */
+/** Simulates an overload of one group with several queue orders and checks the callers' results. */
 #include <CppUTest/TestHarness.h>
 
 #include <algorithm>
@@ -17,33 +17,35 @@
 
 using std::chrono::milliseconds;
 
-/** A primary alone, while its replicas lag. */
+/** The capacity of a primary whose replicas all lag. */
 constexpr int kSlots = 6;
 constexpr Duration kSlotTime = milliseconds(25);
-/** 240 statements a second can be served; 336 come for 4 s, then 120 for 2 s. */
+/** 240 statements a second can be served; 336 a second arrive for 4 s, then 120 a second for 2 s.
+ */
 constexpr Duration kOverload = milliseconds(4000);
 constexpr Duration kPlay = milliseconds(8000);
 constexpr Duration kTimeout = milliseconds(1000);
 constexpr Duration kObjective = milliseconds(200);
 constexpr Duration kOnTime = milliseconds(100);
-/** Callers leave then, whatever they were told, and come back twice at most after this time. */
-constexpr Duration kPatience = milliseconds(1200);
-constexpr Duration kReturn = milliseconds(120);
-constexpr int kReturns = 2;
+/** Callers give up after `kCallerTimeout`, whatever retry time they were given. They retry at most
+ * twice, after `kRetryDelay`. */
+constexpr Duration kCallerTimeout = milliseconds(1200);
+constexpr Duration kRetryDelay = milliseconds(120);
+constexpr int kMaxRetries = 2;
 const StatementClass kFlow{ServiceName("orders"), 0};
 
 enum class Order { AsItStands, EarliestDeadline, LastInPastOverload, FirstInFirstOut };
-/** Refused after 70% of the timeout and queued anew; held to the last useful moment; by forecast.
- */
+/** Refused after 70% of the timeout and queued as new on a retry; held until the last moment at
+ * which an answer is in time; refused by forecast. */
 enum class Admission { FixedShare, HeldToTheEnd, Forecast };
 
 struct Caller {
     TimePoint firstAt{};
-    /** When the present attempt came, by which it is queued. */
+    /** Arrival of the present attempt, which determines its position. */
     TimePoint arrivedAt{};
     TimePoint queuedAt{};
-    TimePoint comesAt{};
-    int returns = 0;
+    TimePoint retryAt{};
+    int retries = 0;
 };
 
 struct Outcome {
@@ -51,10 +53,11 @@
     int inObjective = 0;
     int served = 0;
     std::vector<Duration> refusalAges;
-    /** Longest time after the first asking at which one that was never served was refused. */
+    /** Longest time from the first attempt to the refusal of a statement that was never served. */
     Duration longestRefused{0};
 
-    /** Answers, where a late one is worth a third of one within the objective to its caller. */
+    /** Value of all answers: to its caller, a late one is worth a third of one within the
+     * objective. */
     double useful() const { return inObjective + (served - inObjective) / 3.0; }
     double share(int count) const { return static_cast<double>(count) / asked; }
     Duration medianAge() const {
@@ -75,7 +78,7 @@
         int sent = 0;
         while (_elapsed < kPlay) {
             arrive(sent);
-            comeBack();
+            retryRefused();
             finish();
             place();
             refuse();
@@ -86,7 +89,8 @@
     }
 
 private:
-    /** Three in 9 ms while overloaded, then one in 8 ms for two seconds. */
+    /** 336 arrivals a second, about three in 9 ms, during the overload; then about one in 8 ms for
+     * two seconds. */
     void arrive(int& sent) {
         const auto elapsed = std::chrono::duration_cast<milliseconds>(_elapsed).count();
         const auto overload = kOverload / milliseconds(1);
@@ -103,19 +107,20 @@
         }
     }
 
-    void comeBack() {
+    void retryRefused() {
         const TimePoint now = _clock.now();
         for (auto& [session, caller] : _callers) {
-            if (!_waiting.contains(session) && caller.comesAt > TimePoint{} &&
-                now >= caller.comesAt && caller.returns > 0 && now - caller.firstAt < kPatience) {
+            if (!_waiting.contains(session) && caller.retryAt > TimePoint{} &&
+                now >= caller.retryAt && caller.retries > 0 &&
+                now - caller.firstAt < kCallerTimeout) {
                 caller.arrivedAt = now;
                 caller.queuedAt = _admission == Admission::FixedShare ? now : caller.firstAt;
-                caller.comesAt = TimePoint{};
+                caller.retryAt = TimePoint{};
                 enqueue(session);
             }
         }
         std::erase_if(_waiting, [&](const auto& entry) {
-            return now - _callers.at(entry.first).firstAt >= kPatience;
+            return now - _callers.at(entry.first).firstAt >= kCallerTimeout;
         });
     }
 
@@ -130,7 +135,7 @@
             const Caller& caller = _callers.at(_running.front().first);
             _running.pop_front();
             const Duration took = _clock.now() - caller.firstAt;
-            if (took < kPatience) {
+            if (took < kCallerTimeout) {
                 ++_outcome.served;
                 _outcome.inObjective += took <= kObjective ? 1 : 0;
             }
@@ -147,8 +152,9 @@
         for (const auto& [session, at] : _waiting) {
             order.push_back(session);
         }
-        // One timeout for all: the earliest deadline is that of the earliest arrival, over refusals
-        // in the order of deadlines, and of the attempt in the order of arrival.
+        // All statements have the same timeout. The earliest deadline is thus that of the earliest
+        // first arrival, across refusals, when ordering by deadline, and that of the earliest
+        // attempt when ordering by arrival.
         const auto arrival = [&](SessionId id) {
             const Caller& caller = _callers.at(id);
             return _order == Order::EarliestDeadline ? caller.firstAt : caller.arrivedAt;
@@ -187,16 +193,16 @@
             return;
         }
         refuseWhere([&](const Caller& caller) { return now >= latestStart(caller); });
-        if (_admission != Admission::Forecast || !_policy.isDue(now)) {
+        if (_admission != Admission::Forecast || !_policy.isReviewDue(now)) {
             return;
         }
-        std::vector<Applicant> applicants;
+        std::vector<QueuedStatement> statements;
         for (const SessionId session : ordered()) {
             const Caller& caller = _callers.at(session);
-            applicants.push_back(
+            statements.push_back(
                 {session, kFlow, caller.queuedAt + kOnTime, latestStart(caller), {}});
         }
-        for (const ForecastRefusal& refusal : _policy.look(now, applicants)) {
+        for (const ForecastRefusal& refusal : _policy.review(now, statements)) {
             refuseOne(refusal.session);
         }
     }
@@ -226,9 +232,9 @@
         _outcome.refusalAges.push_back(_clock.now() - caller.arrivedAt);
         const Duration asked = _clock.now() - caller.firstAt;
         _outcome.longestRefused = std::max(_outcome.longestRefused, asked);
-        if (caller.returns < kReturns) {
-            ++caller.returns;
-            caller.comesAt = _clock.now() + kReturn;
+        if (caller.retries < kMaxRetries) {
+            ++caller.retries;
+            caller.retryAt = _clock.now() + kRetryDelay;
         }
     }
 
@@ -259,7 +265,7 @@
 
 TEST_GROUP(Overload){};
 
-/** Who is turned away would have waited in vain in three cases of four at least. */
+/** At least three of four refused statements would have waited in vain. */
 TEST(Overload, RefusalsAreEarlyAndSeldomWrong) {
     const Outcome held =
         play("held to the end, as it stands", Order::AsItStands, Admission::HeldToTheEnd);
@@ -270,10 +276,10 @@
     const int wronglyRefused = held.served - forecast.served;
     const int turnedAway = forecast.asked - forecast.served;
     CHECK_TRUE(wronglyRefused * 4 <= turnedAway);
-    CHECK_TRUE(forecast.longestRefused <= kPatience);
+    CHECK_TRUE(forecast.longestRefused <= kCallerTimeout);
 }
 
-/** Those who would be served late are served late all the same. */
+/** Statements that would be served late without refusals are still served late with them. */
 TEST(Overload, RefusalsCostNobodyALateAnswer) {
     const Outcome held =
         play("held to the end, as it stands", Order::AsItStands, Admission::HeldToTheEnd);
@@ -284,8 +290,8 @@
     CHECK_TRUE(forecast.share(forecast.served) > fixed.share(fixed.served) - 0.03);
 }
 
-/** A return that counts as new takes the place of younger ones and makes them late. */
-TEST(Overload, ReturnsInTurnLeaveMoreInTheirObjective) {
+/** A retry that counts as a new statement displaces younger statements and makes them late. */
+TEST(Overload, RetriesQueuedByFirstAttemptLeaveMoreInTheirObjective) {
     const Outcome fixed =
         play("70% of the timeout, as it stands", Order::AsItStands, Admission::FixedShare);
     const Outcome forecast = play("forecast, as it stands", Order::AsItStands, Admission::Forecast);
--- a/tests/locality/BackgroundShareTest.cpp
+++ b/tests/locality/BackgroundShareTest.cpp
@@ -17,7 +17,7 @@
     BackgroundShare share{traffic};
     TimePoint now = TimePoint{} + seconds(1000);
 
-    /** @return bytes that may be sent now, in reports. */
+    /** @return the bytes that may be sent now, in reports. */
     std::size_t takeAll() {
         std::size_t taken = 0;
         while (taken < 1000000 && share.take(kReport, now)) {
@@ -46,7 +46,7 @@
     CHECK_EQUAL(4000, takeAll());
 }
 
-TEST(BackgroundShare, BackgroundItselfEarnsNothing) {
+TEST(BackgroundShare, BackgroundTrafficRaisesNoAllowance) {
     takeAll();
     traffic.add(TrafficPurpose::LoadReports, TrafficDirection::Sent, 1000000);
     traffic.add(TrafficPurpose::Feeds, TrafficDirection::Received, 1000000);
--- a/tests/placement/HomePolicyTest.cpp
+++ b/tests/placement/HomePolicyTest.cpp
@@ -72,7 +72,9 @@
         return policy.mayBegin(
             placed, {atNorth ? north : south, atNorth ? kNorthZone : kSouthZone, isPrimary});
     }
-    /** What a write of the bound service gets while the server in the north leads. */
+    /**
+     * @return the verdict on a write of the restricted service while the server in the north leads.
+     */
     PlacementVerdict writeInNorth(const TenantName& who = kNobody) {
         return begin(unit(service, true, who), true, true);
     }
@@ -99,7 +101,7 @@
     CHECK_TRUE(begin(unit(service, false, tenant), true).isForbidden());
 }
 
-TEST(HomePolicy, HomesWithoutARegionInCommonAreSaidSo) {
+TEST(HomePolicy, HomesWithoutARegionInCommonAreReported) {
     bindTenant({kNorth});
     for (const bool atNorth : {false, true}) {
         const PlacementVerdict verdict = begin(unit(service, true, tenant), atNorth, true);
@@ -110,7 +112,7 @@
     CHECK_FALSE(policy.mayForwardTo(unit(service, false, tenant), kSouthZone));
 }
 
-TEST(HomePolicy, ARegionThatNoServerOfTheGroupHasIsSaidSo) {
+TEST(HomePolicy, AHomeRegionWithoutAServerIsReported) {
     bind(service, {kWest});
     CHECK_TRUE(writeInNorth().isForbidden());
     STRCMP_EQUAL("no_server_in_home_regions", writeInNorth().reason);
@@ -124,7 +126,7 @@
     STRCMP_EQUAL("no_server_in_home_regions", writeInNorth().reason);
 }
 
-TEST(HomePolicy, WhatNeedsAPrimaryThatWillMoveIsPutOff) {
+TEST(HomePolicy, StatementsForAPrimaryThatWillMoveAreDeferred) {
     const PlacementVerdict verdict = writeInNorth();
     CHECK_TRUE(PlacementVerdict::Kind::Deferred == verdict.kind);
     STRCMP_EQUAL("primary_outside_home_regions", verdict.reason);
@@ -177,7 +179,7 @@
     CHECK_TRUE(policy.mayContinue(unit(service), {south, kSouthZone, false}).isAllowed());
 }
 
-TEST(HomePolicy, OnlyNodesInAHomeAreShownStatements) {
+TEST(HomePolicy, StatementsAreForwardedOnlyToNodesInAHome) {
     CHECK_TRUE(policy.mayForwardTo(unit(service), kSouthZone));
     CHECK_FALSE(policy.mayForwardTo(unit(service), kNorthZone));
     CHECK_FALSE(policy.mayForwardTo(unit(service), ZoneName()));
@@ -185,7 +187,7 @@
     UNSIGNED_LONGS_EQUAL(2, policy.statistics().nodesRuledOut);
 }
 
-TEST(HomePolicy, WordsOfServersAboutBoundStatementsAreNotLogged) {
+TEST(HomePolicy, ServerMessagesAboutStatementsWithHomesAreNotLogged) {
     bindTenant({kSouth});
     CHECK_FALSE(policy.mayLogAnswers(unit(service)));
     CHECK_FALSE(policy.mayLogAnswers(unit(free, false, tenant)));
