--- a/src/contract/AdmissionQueue.cpp
+++ b/src/contract/AdmissionQueue.cpp
@@ -52,7 +52,8 @@
 }
 
 std::optional<AdmissionCandidate> AdmissionQueue::next() const {
-    // Whatever holds the slots may wait for a lock of this transaction: it must not wait for them.
+    // Starts a statement of an open transaction even when no slot is free: the statements that hold
+    // the slots may be waiting for this transaction's locks.
     if (const auto& continuing = queueOf(AdmissionClass::InTransaction); !continuing.empty()) {
         return AdmissionCandidate{continuing.front(), AdmissionClass::InTransaction};
     }
--- a/src/contract/BackendConnector.h
+++ b/src/contract/BackendConnector.h
@@ -1,6 +1,6 @@
 /**
- * What the group executor needs of back-end connections. Implemented over libpq by link/backend and
- * over simulated servers by the deterministic simulation.
+ * Interface of the group executor to back-end connections. Implemented over libpq by link/backend
+ * and over simulated servers by the deterministic simulation.
  */
 #pragma once
 
@@ -15,22 +15,22 @@
 
 namespace coralhoist::contract {
 
-/** What happens to the result of a command. */
+/** How the result of a command is handled. */
 enum class ResultUse {
-    Forward, /**< Encoded as back-end messages for the caller, streamed as it comes. */
-    Capture, /**< First rows are handed over as text values. */
-    Discard, /**< Only success or failure matters. */
+    Forward, /**< Encoded as back-end messages and streamed to the caller as the rows arrive. */
+    Capture, /**< The first rows are returned as text values. */
+    Discard, /**< Only success or failure is reported. */
 };
 
 /** One command of a pipeline. */
 struct BackendCommand {
     StatementStep step;
     ResultUse use = ResultUse::Discard;
-    /** A synchronisation point follows: an error skips only the commands up to here. */
+    /** A synchronization point follows; an error skips only the commands up to this point. */
     bool syncAfter = false;
 };
 
-/** Commands sent to a connection in one go. */
+/** Commands sent to a connection as one pipeline. */
 struct BackendProgram {
     std::vector<BackendCommand> commands;
 };
@@ -40,17 +40,18 @@
     std::vector<std::optional<std::string>> values;
 };
 
-/** How one command ended. */
+/** Outcome of one command. */
 struct CommandOutcome {
     enum class Kind {
         Succeeded,
-        Failed,  /**< The database refused it; sqlState and message are set. */
-        Skipped, /**< An earlier command of the same segment failed; it did not run. */
+        Failed,  /**< The database returned an error; sqlState and message are set. */
+        Skipped, /**< The command did not run because an earlier command of the same segment failed.
+                  */
     };
     Kind kind = Kind::Succeeded;
     std::string sqlState;
     std::string message;
-    /** Encoded ErrorResponse when a forwarded command failed. */
+    /** Encoded ErrorResponse of a forwarded command that failed. */
     std::string errorBytes;
     std::vector<CapturedRow> rows;
     /** CommandComplete tag, e.g. "UPDATE 1"; empty for rows that were only described. */
@@ -60,8 +61,7 @@
 /** Transaction state of a connection as the client library reports it. */
 enum class ConnectionState { Idle, InTransaction, InFailedTransaction, Unknown };
 
-/** Receives what happens on connections. Called on the executor's thread, in order per connection.
- */
+/** Receives connection events. Called on the executor's thread, in order for each connection. */
 class BackendEvents {
 public:
     virtual ~BackendEvents() = default;
@@ -70,8 +70,8 @@
     virtual void onOpened(ConnectionId connection) = 0;
 
     /**
-     * The connection could not be opened and is gone.
-     * @param sqlState the server's refusal, e.g. 53300, or empty when it was not reached.
+     * The connection could not be opened and is closed.
+     * @param sqlState the server's error code, e.g. 53300; empty when the server was not reached.
      */
     virtual void onOpenFailed(ConnectionId connection, const std::string& sqlState,
                               const std::string& message) = 0;
@@ -88,17 +88,17 @@
     virtual void onCommandEnded(ConnectionId connection, std::size_t commandIndex,
                                 CommandOutcome outcome) = 0;
 
-    /** The whole program has ended; the connection takes the next one. */
+    /** The whole program has ended; the connection can run the next one. */
     virtual void onProgramEnded(ConnectionId connection, ConnectionState state) = 0;
 
     /**
-     * An open connection broke and is gone.
+     * An open connection broke and is closed.
      * @param sent whether any byte of the running program may have reached the server.
      */
     virtual void onLost(ConnectionId connection, bool sent, const std::string& message) = 0;
 };
 
-/** Opens connections and runs programs on them. Calls never deliver an event before they return. */
+/** Opens connections and runs programs on them. No call delivers an event before it returns. */
 class BackendConnector {
 public:
     virtual ~BackendConnector() = default;
@@ -106,20 +106,20 @@
     /**
      * Starts to open a connection; onOpened or onOpenFailed follows.
      * @param server one of the group's servers.
-     * @return the number of the connection.
+     * @return the identifier of the connection.
      */
     virtual ConnectionId open(const ServerName& server) = 0;
 
     /**
      * Sends a program on an idle connection.
-     * @param connection one that has no program running.
+     * @param connection a connection without a running program.
      */
     virtual void run(ConnectionId connection, BackendProgram program) = 0;
 
-    /** Asks the server to cancel what runs on the connection. Best effort. */
+    /** Asks the server to cancel the statement that runs on the connection. Best effort. */
     virtual void cancel(ConnectionId connection) = 0;
 
-    /** Stops or restarts reading results from the connection. */
+    /** Pauses or resumes reading results from the connection. */
     virtual void setReading(ConnectionId connection, bool reading) = 0;
 
     /** Closes the connection at once; no event for it follows. */
--- a/src/contract/BatchPlan.h
+++ b/src/contract/BatchPlan.h
@@ -1,17 +1,19 @@
-/** What a batch needs, derived from the kinds of its steps. */
+/** Execution requirements of a batch, derived from the kinds of its steps. */
 #pragma once
 
 #include "contract/Statement.h"
 
 namespace coralhoist::contract {
 
-/** The properties of a batch on which its execution depends. */
+/** Properties of a batch that determine how it is executed. */
 struct BatchPlan {
-    /** Some step is refused by design. */
+    /** Some step is of a kind that the proxy never supports. */
     bool unsupported = false;
-    /** Changes nothing and opens no transaction: may run on a replica and may be repeated. */
+    /**
+     * Changes nothing and opens no transaction; the batch may run on a replica and may be repeated.
+     */
     bool readOnly = false;
-    /** Only describes; needs no floor and pins nothing. */
+    /** Only describes statements; the batch needs no read floor and pins no connection. */
     bool describeOnly = false;
     /** Some step may change data. */
     bool writes = false;
@@ -21,9 +23,9 @@
     bool commits = false;
     /** The first step is COMMIT or ROLLBACK. */
     bool endsTransaction = false;
-    /** An explicit transaction is open after the batch, when all goes well. */
+    /** An explicit transaction is open after the batch if every step succeeds. */
     bool openAtEnd = false;
-    /** The transaction it opens is declared read-only. */
+    /** The transaction that the batch opens is declared read-only. */
     bool readOnlyTransaction = false;
     /** More steps of the same implicit transaction follow. */
     bool flush = false;
@@ -32,8 +34,8 @@
 };
 
 /**
- * @param batch what the caller asks to run.
- * @param inTransaction whether a transaction is open before it.
+ * @param batch the batch that the caller submitted.
+ * @param inTransaction whether a transaction is open before the batch.
  */
 BatchPlan planBatch(const StatementBatch& batch, bool inTransaction);
 
--- a/src/contract/ConnectionPool.h
+++ b/src/contract/ConnectionPool.h
@@ -1,4 +1,7 @@
-/** The data connections of one group: scarce, opened with care, clean before they are reused. */
+/**
+ * Pool of the data connections of one group. Limits the number of connections, paces connection
+ * attempts, and resets connections before they are reused.
+ */
 #pragma once
 
 #include <map>
@@ -14,56 +17,60 @@
 
 namespace coralhoist::contract {
 
-/** Bounds for each server. */
+/** Limits for each server. */
 struct PoolLimits {
     std::uint32_t connectionsPerServer = 0;
     std::uint32_t concurrentConnects = 1;
-    /** Idle connections kept open. */
+    /** Number of idle connections kept open. */
     std::uint32_t warmConnections = 0;
 };
 
 /** A connection taken out of the pool. */
 struct PoolLease {
     ConnectionId connection;
-    /** The session parameters must be applied. */
+    /** The session parameters must still be applied to the connection. */
     bool needsParameters = false;
 };
 
 /**
  * Pool of connections per server.
  *
- * Invariants: at most connectionsPerServer connections per server exist, busy ones included; a
- * connection has one user at a time; one with session state of an earlier user is reset, in a
- * program of its own, before it is idle again or taken by another; one whose transaction state is
- * not known, or that a cancel request may still reach, is closed and never reused.
+ * Invariants: at most connectionsPerServer connections per server exist, busy ones included. A
+ * connection has one user at a time. A connection with session state of an earlier user is reset,
+ * in a separate program, before it becomes idle again or is leased to another user. A connection
+ * whose transaction state is unknown, or that a cancel request may still reach, is closed and never
+ * reused.
  */
 class ConnectionPool {
 public:
     using Parameters = std::vector<SessionParameter>;
 
-    /** All references outlive the pool. */
+    /** The referenced objects must outlive the pool. */
     ConnectionPool(BackendConnector& connector, RandomSource& random, const ExecutorKnobs& knobs);
 
     /**
      * @param servers members of the group.
-     * @param leaving of them, those that get no new connections; their idle ones are closed.
+     * @param leaving the members that get no new connections; their idle connections are closed.
      */
     void configure(const std::vector<ServerName>& servers, const std::vector<ServerName>& leaving,
                    const PoolLimits& limits);
 
-    /** @return an idle connection with these parameters in force, or with none. */
+    /** @return an idle connection on which these parameters, or none, are in effect. */
     std::optional<PoolLease> acquire(const ServerName& server, const Parameters& parameters);
 
     /**
-     * The user is done and the connection is idle outside a transaction.
-     * @param parameters in force on it, and no other session state.
+     * Returns a connection that is idle outside a transaction to the pool.
+     * @param parameters in effect on the connection, which has no other session state.
      */
     void release(ConnectionId connection, Parameters parameters);
 
-    /** @return an idle connection with other parameters in force, to be reset. */
+    /** @return an idle connection with other parameters in effect, which must be reset. */
     std::optional<ConnectionId> takeForReset(const ServerName& server);
 
-    /** A cancel request is on its way and may come late: the connection gets no other user. */
+    /**
+     * Records that a cancel request was sent and may arrive late; the connection is never leased to
+     * another user.
+     */
     void markCancelled(ConnectionId connection);
 
     bool isCancelled(ConnectionId connection) const;
@@ -71,7 +78,10 @@
     /** Closes a busy connection. */
     void discard(ConnectionId connection);
 
-    /** Statements that wait for a connection to the server; opened for them at the next pump. */
+    /**
+     * Sets the number of statements that wait for a connection to the server; the next pump() opens
+     * connections for them.
+     */
     void setDemand(const ServerName& server, std::size_t waiting);
 
     bool owns(ConnectionId connection) const { return _connections.contains(connection); }
@@ -83,7 +93,10 @@
     void onOpenFailed(ConnectionId connection, TimePoint now);
     void onLost(ConnectionId connection);
 
-    /** Opens what is wanted and allowed, and gives up on connects that take too long. */
+    /**
+     * Opens the connections that are demanded and allowed, and abandons connection attempts that
+     * exceed the timeout.
+     */
     void pump(TimePoint now);
 
     /** @return when pump must be called next. */
@@ -92,7 +105,10 @@
     /** @return whether no connection is open and the last attempt failed. */
     bool isUnreachable(const ServerName& server) const;
 
-    /** @return connections that could still be taken: idle ones and ones not opened yet. */
+    /**
+     * @return the number of connections that can still be leased: idle ones and ones not opened
+     *         yet.
+     */
     std::size_t available(const ServerName& server) const;
 
     std::size_t openCount(const ServerName& server) const;
--- a/src/contract/ConnectionShare.h
+++ b/src/contract/ConnectionShare.h
@@ -1,24 +1,24 @@
-/** How much of a group's scarce resources this proxy may use. */
+/** This proxy's share of a group's connections and execution slots. */
 #pragma once
 
 #include <cstdint>
 
 namespace coralhoist::contract {
 
-/** What a proxy does for a database group. */
+/** Role of a proxy for a database group. */
 enum class OwnerRole {
-    None,    /**< Forwards to owners; holds no connection. */
-    Standby, /**< Keeps warm connections and status samples; executes what active owners can't take.
-              */
+    None,    /**< Forwards requests to owners and holds no connection. */
+    Standby, /**< Keeps warm connections and status samples; executes requests that active owners
+                can't accept. */
     Active,  /**< Executes statements. */
 };
 
-/** This proxy's part of the connections and slots of each server of a group. */
+/** This proxy's share of the connections and slots of each server of a group. */
 struct ConnectionShare {
     OwnerRole role = OwnerRole::Active;
-    /** Connections that this proxy may hold to one server, the status connection included. */
+    /** Maximum number of connections to one server, including the status connection. */
     std::uint32_t connectionsPerServer = 10;
-    /** Statements that this proxy may have executing on one server at once. */
+    /** Maximum number of statements of this proxy that execute concurrently on one server. */
     std::uint32_t slotsPerServer = 5;
 
     bool operator==(const ConnectionShare&) const = default;
--- a/src/contract/Execution.h
+++ b/src/contract/Execution.h
@@ -1,6 +1,7 @@
 /**
- * The interface between callers' sessions and whoever executes their batches: the group executor of
- * this process, or another proxy reached over a peer link. Both implement StatementExecutor.
+ * The interface between callers' sessions and the executors of their batches. An executor is either
+ * the group executor of this process or another proxy reached over a peer link; both implement
+ * StatementExecutor.
  */
 #pragma once
 
@@ -25,52 +26,58 @@
     bool operator==(const SessionParameter&) const = default;
 };
 
-/** One batch to execute, with all that its execution depends on. */
+/** One batch to execute, with everything that its execution depends on. */
 struct ExecutionRequest {
     RequestId id;
     SessionId session;
     GroupName group;
     ServiceName service;
     StatementBatch batch;
-    /** Settings of the service when the batch arrived at the caller's proxy. */
+    /** Settings of the service at the time when the batch arrived at the caller's proxy. */
     settings::ServiceSettings serviceSettings;
-    /** Point after which the request is refused, or its outcome is declared unknown. */
+    /** After this time the request is refused, or its outcome is reported as unknown. */
     TimePoint deadline;
-    /** From a token the caller presented; reads need no sample of their own then. */
+    /**
+     * Read floor from a token that the caller presented; reads with a token need no majority
+     * sample.
+     */
     std::optional<OpTime> floor;
     /** Deduplicates the write or the transaction; see RequestKeyProtocol. */
     std::optional<std::string> requestKey;
-    /** Set inside an open transaction or an unfinished implicit one; pins the connection. */
+    /**
+     * Set inside an open explicit transaction or an unfinished implicit one; pins the connection.
+     */
     std::optional<TransactionId> transaction;
     std::vector<SessionParameter> sessionParameters;
-    /** How often proxies have handed the request on; bounds detours between proxies. */
+    /** Number of times that proxies have forwarded the request; bounds forwarding loops. */
     std::uint32_t forwardings = 0;
 };
 
-/** Whether a failed request ran. */
+/** Whether a failed request was executed. */
 enum class RunState {
     NotRun,     /**< No statement of the batch took effect, and none will. */
-    RolledBack, /**< It ran and all its effects were undone. */
-    Unknown,    /**< It may have taken effect. */
-    Ran,        /**< It took effect. */
+    RolledBack, /**< The batch ran and all its effects were undone. */
+    Unknown,    /**< The batch may have taken effect. */
+    Ran,        /**< The batch took effect. */
 };
 
-/** Why a proxy did not bring a request to an end; tells a router whether another owner may help. */
+/** Why a proxy did not complete a request; determines whether a router may try another owner. */
 enum class RoutingFailure {
-    None,             /**< The error has nothing to do with which proxy was asked. */
-    NotOwner,         /**< The asked proxy does not own the group or is leaving; nothing ran. */
-    OwnerUnreachable, /**< The link to the owner failed or its answer did not come in time. */
+    None,             /**< The error does not depend on which proxy was asked. */
+    NotOwner,         /**< The proxy does not own the group or is draining; nothing ran. */
+    OwnerUnreachable, /**< The link to the owner failed, or the owner's response did not arrive in
+                         time. */
 };
 
-/** An error for the caller. */
+/** An error that is reported to the caller. */
 struct ExecutionError {
-    /** Five characters, PostgreSQL's SQLSTATE. */
+    /** PostgreSQL's SQLSTATE, five characters. */
     std::string sqlState;
     std::string message;
     std::string detail;
     std::string hint;
     RunState runState = RunState::NotRun;
-    /** When the caller should come back; zero when that is no use. */
+    /** Delay after which the caller should retry; zero when a retry does not help. */
     Duration retryAfter{0};
     RoutingFailure routingFailure = RoutingFailure::None;
 };
@@ -78,34 +85,37 @@
 /** Transaction status after a batch, as in ReadyForQuery. */
 enum class TransactionStatus { Idle, InTransaction, Failed };
 
-/** The end of a request. Exactly one is delivered for each request. */
+/** Result of a request. Exactly one result is delivered for each request. */
 struct ExecutionResult {
     /** An error of the proxy. Errors of the database are part of the response bytes instead. */
     std::optional<ExecutionError> error;
     TransactionStatus transactionStatus = TransactionStatus::Idle;
     /** Pins the following batches of the session while a transaction is open. */
     std::optional<TransactionId> transaction;
-    /** Least point of the history that the session has seen or written; becomes its token. */
+    /**
+     * Smallest point of the replicated history that covers everything the session has read or
+     * written; becomes the session's token.
+     */
     std::optional<OpTime> observed;
-    /** Whether a replica answered; for statistics. */
+    /** Whether a replica served the request; used for statistics. */
     bool servedByReplica = false;
 };
 
-/** Receives the answer to one request. Methods are called in order on the executor's thread. */
+/** Receives the response to one request. Methods are called in order on the executor's thread. */
 class ResponseSink {
 public:
     virtual ~ResponseSink() = default;
 
     /**
-     * Bytes of back-end messages (ParameterDescription, RowDescription, DataRow, CommandComplete,
-     * EmptyQueryResponse, NoData, NoticeResponse, ErrorResponse) to be relayed to the caller.
-     * Parse, Bind and Close completions and ReadyForQuery are the caller link's.
+     * Receives back-end messages (ParameterDescription, RowDescription, DataRow, CommandComplete,
+     * EmptyQueryResponse, NoData, NoticeResponse, ErrorResponse) to be relayed to the caller. The
+     * caller link itself sends the Parse, Bind and Close completions and ReadyForQuery.
      * @param id the request.
      * @param stepIndex the step of the batch to which the bytes belong.
      * @param bytes whole messages.
-     * @param stepComplete whether this ends the step's answer.
-     * @return false when the sink wants no more for now: back-pressure. The executor goes on after
-     *         StatementExecutor::resume.
+     * @param stepComplete whether this ends the response to the step.
+     * @return false to apply back-pressure: the executor delivers no more bytes until
+     *         StatementExecutor::resume is called.
      */
     virtual bool onResponseBytes(RequestId id, std::size_t stepIndex, std::string bytes,
                                  bool stepComplete) = 0;
@@ -113,7 +123,7 @@
     /**
      * The request has ended. No call for it follows.
      * @param id the request.
-     * @param result how it ended.
+     * @param result the outcome of the request.
      */
     virtual void onCompleted(RequestId id, ExecutionResult result) = 0;
 };
@@ -127,24 +137,24 @@
      * Accepts a request. The sink always gets exactly one onCompleted, also for refusals, and may
      * get it during this call.
      * @param request the batch.
-     * @param sink outlives the request.
+     * @param sink must outlive the request.
      */
     virtual void submit(ExecutionRequest request, ResponseSink& sink) = 0;
 
     /**
-     * The sink takes bytes again.
-     * @param id the request that was held back.
+     * Resumes the delivery of bytes after back-pressure.
+     * @param id the request whose delivery was paused.
      */
     virtual void resume(RequestId id) = 0;
 
     /**
-     * The caller sent a cancel request. Best effort; the request still completes.
+     * Handles a cancel request of the caller. Best effort; the request still completes.
      * @param id the request.
      */
     virtual void cancel(RequestId id) = 0;
 
     /**
-     * The session has ended: its running request is abandoned and its open transaction rolled back.
+     * Ends the session: its running request is abandoned and its open transaction is rolled back.
      * No sink call for the session follows.
      * @param session the caller's session.
      */
--- a/src/contract/ExecutorAcknowledgement.cpp
+++ b/src/contract/ExecutorAcknowledgement.cpp
@@ -1,4 +1,4 @@
-// Acknowledgement of writes by a majority, and what comes next when it fails.
+// Acknowledgement of writes by a majority, and the handling of failed acknowledgements.
 #include <utility>
 
 #include "contract/ExecutorCore.h"
@@ -12,7 +12,7 @@
     return granted;
 }
 
-/** Routes the request from the start; nothing of an earlier attempt remains. */
+/** Routes the request again from the start and discards all state of the earlier attempt. */
 void ExecutorCore::restart(const RequestPointer& context) {
     if (!tryRetry()) {
         refuse(context,
@@ -33,7 +33,7 @@
     _toRoute.push_back(context->request.id);
 }
 
-/** The server did not cover the floor: another one must. */
+/** Retries the request on another server, because this one did not cover the read floor. */
 void ExecutorCore::retryGuard(const RequestPointer& context) {
     context->outbox.clearHeld();
     if (context->onReplica && _routing.primary) {
@@ -65,9 +65,10 @@
 }
 
 /**
- * A commit counts when a majority, asked after it returned, is in its term and has its position:
- * the next election must include one of these servers, and a primary that was cut off can't find
- * them.
+ * Acknowledges commits. A commit counts as acknowledged when a majority of the servers, sampled
+ * after the commit returned, is in its term and has reached its position: the next election must
+ * include one of these servers, and a primary that was partitioned away can't reach such a
+ * majority.
  */
 void ExecutorCore::resolveAcknowledgements() {
     const std::vector<RequestId> waiting = std::exchange(_awaitingAcknowledgement, {});
@@ -114,7 +115,10 @@
     finish(context);
 }
 
-/** The commit can't be confirmed in its term. Its key, if any, tells on the new primary. */
+/**
+ * Handles a commit that can't be confirmed in its term. If the request has a key, the key is looked
+ * up on the new primary and shows whether the commit took effect.
+ */
 void ExecutorCore::onReplaced(const RequestPointer& context) {
     const bool resolvable =
         context->isKeyed() && !context->result.transaction && !context->outbox.hasReleased();
--- a/src/contract/ExecutorConnections.cpp
+++ b/src/contract/ExecutorConnections.cpp
@@ -1,4 +1,4 @@
-// Connections of the group executor: opened, pinned, released, cleaned, lost.
+// Connections of the group executor: opening, pinning, release, reset and loss.
 #include <string>
 #include <utility>
 
@@ -65,7 +65,8 @@
     }
     const bool maySurvive = sent && context->isAutocommitWrite();
     if (context->stage != RequestStage::Plain) {
-        // Only a sent COMMIT can have taken effect; the claim of the key tells when it is repeated.
+        // Only a COMMIT that was sent can have taken effect. The repeated claim of the key shows
+        // whether it did.
         context->mayHaveCommitted =
             context->mayHaveCommitted || (sent && context->stage == RequestStage::KeyCommit);
         restart(context);
@@ -96,7 +97,7 @@
            message);
 }
 
-/** A program that belongs to no request any more has ended. */
+/** Handles the end of a program that no longer belongs to a request. */
 void ExecutorCore::finishHousekeeping(ConnectionId connection, ConnectionState state) {
     const ConnectionUser user = _users.at(connection);
     if (user.slot) {
@@ -126,7 +127,7 @@
     transaction.implicit = context->opensImplicitTransaction();
     transaction.failed = state == ConnectionState::InFailedTransaction;
     transaction.hasWrites = context->plan.writes;
-    // Parameters applied with BEGIN are undone by a rollback.
+    // A rollback also undoes parameters that were applied together with BEGIN.
     transaction.changesSession = context->plan.changesSession || context->appliedSessionState;
     transaction.parameters = request.sessionParameters;
     transaction.idleTimeout = request.serviceSettings.idleInTransactionTimeout;
@@ -143,7 +144,7 @@
     releaseSlot(context);
 }
 
-/** The transaction has ended on the server. */
+/** Handles the end of the transaction on the server. */
 void ExecutorCore::unpin(const RequestPointer& context, Transaction& transaction,
                          ConnectionState state) {
     context->appliedSessionState = transaction.changesSession;
@@ -193,7 +194,10 @@
     _connector.run(connection, builder.addReset().take().program);
 }
 
-/** The cancel request travels beside the connection and may arrive after the program has ended. */
+/**
+ * Sends a cancel request. It travels on a separate connection and may arrive after the program has
+ * ended.
+ */
 void ExecutorCore::cancelProgram(ConnectionId connection) {
     _pool.markCancelled(connection);
     _connector.cancel(connection);
@@ -209,7 +213,7 @@
     _connector.run(connection, builder.take().program);
 }
 
-/** The request is answered or withdrawn while its program runs. */
+/** Detaches a request that is completed or withdrawn while its program still runs. */
 void ExecutorCore::abandon(const RequestPointer& context, bool close) {
     const ConnectionId connection = *context->connection;
     context->connection.reset();
@@ -233,8 +237,9 @@
 }
 
 /**
- * Rolls an idle transaction back and leaves its tombstone.
- * @param untold the reason, when no request is there to be told of it.
+ * Rolls back an idle transaction and leaves its tombstone.
+ * @param untold the reason to report with the session's next statement, when no request is in
+ * progress that could report it.
  */
 void ExecutorCore::abortTransaction(Transaction& transaction, bool close,
                                     std::optional<Refusal> untold) {
--- a/src/contract/ExecutorCore.cpp
+++ b/src/contract/ExecutorCore.cpp
@@ -1,4 +1,4 @@
-// Life of requests, timers and settings of the group executor.
+// Request lifecycle and settings of the group executor.
 #include "contract/ExecutorCore.h"
 
 #include <algorithm>
@@ -16,7 +16,7 @@
     return names;
 }
 
-/** The statement that ends a transaction which no longer exists. */
+/** Builds the ROLLBACK that replaces a statement which ends a transaction that no longer exists. */
 StatementStep makeRollbackStep(const StatementStep& original) {
     StatementStep step;
     step.kind = StatementKind::Rollback;
@@ -49,7 +49,7 @@
     _sampler.setServers(names);
     _monitor.configure(_settings, active);
     PoolLimits limits;
-    // One connection per server belongs to the status monitor.
+    // The status monitor uses one connection per server.
     limits.connectionsPerServer = active && _shareInForce.connectionsPerServer > 0
                                       ? _shareInForce.connectionsPerServer - 1
                                       : 0;
@@ -78,8 +78,9 @@
 }
 
 /**
- * A proxy that owns the group no more takes no new batch. What it has taken ends with the
- * connections, slots and status samples that it had; only then are they given up.
+ * Applies the share of the latest placement. A proxy that no longer owns the group accepts no new
+ * batch. Batches that it has accepted finish with the connections, slots and status samples of the
+ * former share, which are released only afterwards.
  */
 void ExecutorCore::adoptShare() {
     const bool hasWork = !_requests.empty() || _transactions.openCount() > 0;
@@ -138,7 +139,7 @@
     if (_draining) {
         return Refusal::Draining;
     }
-    // Routers ask a standby only when the active owners did not take a request.
+    // Routers send requests to a standby only when the active owners did not accept them.
     if (_share.role == OwnerRole::None) {
         return Refusal::NotOwner;
     }
@@ -158,7 +159,7 @@
     return std::nullopt;
 }
 
-/** @return whether the request goes on; else it is already answered. */
+/** @return whether the request proceeds; otherwise it is already completed. */
 bool ExecutorCore::enterTransaction(const RequestPointer& context) {
     ExecutionRequest& request = context->request;
     Transaction* transaction = ownTransaction(*context);
@@ -187,8 +188,9 @@
 }
 
 /**
- * The proxy has rolled the transaction back. The caller must learn it from an error before anything
- * of it may end without one: COMMIT is never answered as if it had worked.
+ * Handles a statement in a transaction that the proxy has rolled back. The session must get an
+ * error before any statement of the transaction may end without one: COMMIT is never reported as
+ * successful.
  */
 bool ExecutorCore::enterTombstone(const RequestPointer& context, Transaction& transaction) {
     ExecutionRequest& request = context->request;
@@ -270,7 +272,7 @@
     _transactions.erase(id);
 }
 
-/** @return the transaction of the request, unless it is another session's or busy. */
+/** @return the transaction of the request, unless it belongs to another session or is busy. */
 Transaction* ExecutorCore::ownTransaction(const RequestContext& context) {
     const std::optional<TransactionId> id = context.request.transaction;
     Transaction* transaction = id ? _transactions.find(*id) : nullptr;
@@ -281,7 +283,10 @@
     return busy ? nullptr : transaction;
 }
 
-/** Sync ends an implicit transaction also when its batch is refused: what was done is undone. */
+/**
+ * Ends the implicit transaction of a refused batch. Sync ends an implicit transaction even when its
+ * batch is refused, so its changes are rolled back.
+ */
 void ExecutorCore::endRefusedImplicitTransaction(const RequestPointer& context) {
     Transaction* transaction = ownTransaction(*context);
     if (transaction == nullptr || !transaction->implicit || context->plan.flush) {
@@ -298,7 +303,7 @@
 
 void ExecutorCore::refuse(const RequestPointer& context, Refusal refusal, std::string detail) {
     if (context->mayHaveCommitted && refusal != Refusal::RequestKeyAlreadyCommitted) {
-        // An earlier attempt may have taken effect: nothing milder than "unknown" is true.
+        // An earlier attempt may have taken effect, so the outcome must be reported as unknown.
         refusal = Refusal::OutcomeUnknown;
     }
     context->result.error = makeError(refusal, std::move(detail));
@@ -322,7 +327,7 @@
     finish(context);
 }
 
-/** The result is decided: only delivery remains. */
+/** Marks the result as final; only its delivery remains. */
 void ExecutorCore::finish(const RequestPointer& context) {
     leavePhase(context);
     const std::optional<TransactionId> id = context->request.transaction;
--- a/src/contract/ExecutorCore.h
+++ b/src/contract/ExecutorCore.h
@@ -27,11 +27,12 @@
 namespace coralhoist::contract {
 
 /**
- * Moves requests through their phases. Entry points change state and then settle(): everything that
- * can be done at this moment is done, until only events and time can bring more.
+ * State machine that moves requests through their phases. Each entry point changes state and then
+ * calls settle(), which performs every step that is possible now, until only events or timers can
+ * make further progress.
  *
- * Sinks may call back into the executor; such calls only change state, and the settle() that is
- * already running goes on with it.
+ * Sinks may call back into the executor. Such calls only change state, and the settle() that is
+ * already running continues with the new state.
  */
 class ExecutorCore {
 public:
@@ -61,13 +62,13 @@
     GroupReport status() const;
 
 private:
-    /** Who uses a pooled connection. */
+    /** The user of a pooled connection. */
     struct ConnectionUser {
         enum class Kind {
             Request,     /**< The program of a request. */
             Transaction, /**< An open transaction without a running program. */
-            Abandoned,   /**< A program whose request was answered early. */
-            Rollback,    /**< Leaves a transaction before the connection is reused. */
+            Abandoned,   /**< A program whose request completed before the program ended. */
+            Rollback,    /**< Rolls back a transaction before the connection is reused. */
             Reset,       /**< Discards session state before the connection is reused. */
             KeyExpiry,   /**< Deletes expired request keys. */
         };
@@ -76,24 +77,24 @@
         /** Slot that an abandoned program still occupies. */
         std::optional<AdmissionClass> slot;
         TimePoint closeAt{};
-        /** A command of the proxy's own program failed. */
+        /** A command of a program that the proxy issued for itself failed. */
         bool failed = false;
     };
-    /** Requests that wait for the same sample. */
+    /** Requests that wait for the same majority sample. */
     struct FloorWait {
         SampleTicket ticket = 0;
         TimePoint askedAt{};
         std::optional<TimePoint> majorityAt;
         std::vector<RequestId> requests;
     };
-    /** What routing depends on; a change routes everything that waits again. */
+    /** The inputs of routing. When they change, all waiting requests are routed again. */
     struct RoutingState {
         std::optional<machine::ConfirmedPrimary> primary;
         std::vector<ServerName> readable;
         bool operator==(const RoutingState&) const = default;
     };
 
-    // ExecutorCore.cpp: life of requests; ExecutorTimers.cpp: deadlines.
+    // ExecutorCore.cpp: request lifecycle; ExecutorTimers.cpp: deadlines.
     void reconfigure();
     void adoptShare();
     std::optional<Refusal> checkAdmissible(const RequestContext& context) const;
@@ -118,7 +119,7 @@
     void endTransactionOfSession(TransactionId id);
     RequestPointer findRequest(RequestId id) const;
 
-    // ExecutorRouting.cpp: floors, choice of server, admission, start of programs.
+    // ExecutorRouting.cpp: read floors, server selection, admission, start of programs.
     void routeAll();
     void route(const RequestPointer& context);
     bool assignFloor(const RequestPointer& context);
@@ -143,8 +144,8 @@
                     LabelledProgram program);
     void expireKeys();
 
-    // ExecutorOutcomes.cpp: results of programs; ExecutorAcknowledgement.cpp: what follows a
-    // commit; ExecutorConnections.cpp: pinned, released and lost connections.
+    // ExecutorOutcomes.cpp: results of programs; ExecutorAcknowledgement.cpp: majority
+    // acknowledgement of commits; ExecutorConnections.cpp: pinned, released and lost connections.
     void onStepEnded(const RequestPointer& context, std::size_t stepIndex,
                      const CommandOutcome& outcome);
     void onGuardEnded(const RequestPointer& context, const CommandOutcome& outcome);
@@ -181,7 +182,7 @@
     void forwardCommitError(const RequestPointer& context);
     bool anyStepFailed(const RequestContext& context) const;
 
-    // ExecutorKeys.cpp: requests under a key.
+    // ExecutorKeys.cpp: requests with a request key.
     LabelledProgram buildKeyClaim(const RequestContext& context, const PoolLease& lease) const;
     void finishKeyClaim(const RequestPointer& context, ConnectionState state);
     void onKeyClaimRefused(const RequestPointer& context, const CommandOutcome& outcome);
@@ -199,9 +200,12 @@
     RandomSource& _random;
     BackendConnector& _connector;
     ExecutorKnobs _knobs;
-    /** What this proxy may use by the latest placement. */
+    /** This proxy's share by the latest placement. */
     ConnectionShare _share;
-    /** What it uses; the former share while it finishes what it took as an owner. */
+    /**
+     * The share in effect. A former owner keeps its former share until the requests that it
+     * accepted have ended.
+     */
     ConnectionShare _shareInForce;
 
     machine::GroupTopology _topology;
--- a/src/contract/ExecutorKeys.cpp
+++ b/src/contract/ExecutorKeys.cpp
@@ -1,4 +1,4 @@
-// Requests under a key: claim, record, look-up and expiry.
+// Requests with a request key: claim, record, look-up and expiry of keys.
 #include <string>
 #include <utility>
 
@@ -28,7 +28,10 @@
     return parameters;
 }
 
-/** Key and write share one transaction: either both take effect, and once, or neither does. */
+/**
+ * Builds a program in which key and write share one transaction: either both take effect, exactly
+ * once, or neither does.
+ */
 LabelledProgram ExecutorCore::buildKeyClaim(const RequestContext& context,
                                             const PoolLease& lease) const {
     ProgramBuilder builder(_settings.statusQuery);
@@ -60,7 +63,8 @@
         return;
     }
     if (anyStepFailed(*context) || state != ConnectionState::InTransaction) {
-        // The database's own error: the key was rolled back with the write.
+        // The database returned an error for the caller's statement; the key was rolled back with
+        // the write.
         releaseConnection(context, state);
         reportSkippedBatch(context);
         context->outbox.release();
@@ -75,7 +79,10 @@
     startKeyCommit(context);
 }
 
-/** The key could not be inserted: a repeat, a missing table, a server that is no primary. */
+/**
+ * Handles a failed insert of the key. The causes are a repeated request, a missing key table, or a
+ * server that is not the primary.
+ */
 void ExecutorCore::onKeyClaimRefused(const RequestPointer& context, const CommandOutcome& outcome) {
     const std::string sqlState = outcome.sqlState;
     if (sqlState == kUniqueViolation) {
@@ -105,7 +112,7 @@
     ProgramBuilder builder(_settings.statusQuery);
     builder.addStatement(CommandRole::KeyRecord, kRecordOutcome, ResultUse::Discard, false,
                          std::move(parameters));
-    // Forwarded only for the encoded error of a commit that fails.
+    // Uses ResultUse::Forward only to get the encoded error when the commit fails.
     builder.addStatement(CommandRole::KeyCommit, "COMMIT", ResultUse::Forward, true);
     builder.addStatus(CommandRole::Status);
     runProgram(context, *context->connection, builder.take());
@@ -145,7 +152,10 @@
     runProgram(context, *context->connection, builder.take());
 }
 
-/** Answers a repeat, but only once a majority confirms what was read. */
+/**
+ * Answers a repeated request from its record, but only after a majority has confirmed the position
+ * that was read.
+ */
 void ExecutorCore::finishKeyLookup(const RequestPointer& context, ConnectionState state) {
     const CommandOutcome* found = outcomeOf(*context, CommandRole::KeySelect);
     const CommandOutcome select = found != nullptr ? *found : CommandOutcome{};
@@ -193,7 +203,10 @@
     runProgram(context, *context->connection, builder.take());
 }
 
-/** Two proxies may create the table at once; the claim that follows tells whether it exists. */
+/**
+ * Two proxies may create the table concurrently; the key claim that follows shows whether the table
+ * exists.
+ */
 void ExecutorCore::finishKeyTableCreation(const RequestPointer& context, ConnectionState state) {
     releaseConnection(context, state);
     restart(context);
--- a/src/contract/ExecutorKnobs.h
+++ b/src/contract/ExecutorKnobs.h
@@ -9,38 +9,55 @@
 
 namespace coralhoist::contract {
 
-/** Bounds and pacing. The defaults suit round trips of a few milliseconds. */
+/** Limits and intervals. The defaults suit round trips of a few milliseconds. */
 struct ExecutorKnobs {
-    /** Response bytes of an unacknowledged write that are held; earlier rows are released beyond.
+    /**
+     * Response bytes of an unacknowledged write that are held back; beyond this limit the earlier
+     * rows are released.
      */
     std::size_t heldBytesLimit = std::size_t{1} << 20U;
-    /** Largest response that a request key records; a larger one is rolled back and refused. */
+    /**
+     * Largest response that is recorded with a request key; a write with a larger response is
+     * rolled back and refused.
+     */
     std::size_t recordedOutcomeLimit = std::size_t{1} << 20U;
-    /** Response bytes waiting for a slow sink before the connection is no longer read. */
+    /**
+     * Response bytes that may wait for a slow sink before the proxy stops reading from the
+     * connection.
+     */
     std::size_t undeliveredBytesLimit = std::size_t{256} << 10U;
-    /** Wait for the remaining servers once a majority has answered a sample. */
+    /** Time to wait for the remaining servers after a majority has answered a sample. */
     Duration sampleGrace = std::chrono::milliseconds(3);
-    /** Least time between two status queries to one server. */
+    /** Minimum interval between two status queries to one server. */
     Duration sampleSpacing = std::chrono::microseconds(500);
-    /** Time between status queries while the group has no usable primary. */
+    /** Interval between status queries while the group has no usable primary. */
     Duration searchInterval = std::chrono::milliseconds(20);
-    /** Time for which a newer term without a majority holds writes back from the older primary. */
+    /**
+     * Time for which writes to the older primary are suspended after a newer term was seen that no
+     * majority confirms.
+     */
     Duration unconfirmedTermPatience = std::chrono::seconds(3);
-    /** First and longest pause before a refused or failed connect is tried again. */
+    /** Initial and maximum backoff before a refused or failed connection attempt is retried. */
     Duration reconnectBackoffMinimum = std::chrono::milliseconds(20);
     Duration reconnectBackoffMaximum = std::chrono::seconds(2);
-    /** A connect that takes longer is given up. */
+    /** Connection attempts that exceed this time are abandoned. */
     Duration connectTimeout = std::chrono::seconds(2);
-    /** An abandoned program that has not ended after this time costs its connection. */
+    /**
+     * Time after which the connection of an abandoned program is closed if the program has not
+     * ended.
+     */
     Duration abandonedProgramPatience = std::chrono::seconds(1);
-    /** Pause before a read that no server could serve is routed again. */
+    /** Delay before a read that no server could serve is routed again. */
     Duration rerouteBackoff = std::chrono::milliseconds(5);
-    /** Urgent statements admitted in a row while an ordinary one waits. */
+    /** Maximum number of consecutive urgent statements admitted while an ordinary one waits. */
     std::uint32_t urgentBurst = 8;
-    /** Retries allowed for each hundred first attempts, and the burst on top. */
+    /** Retries allowed per hundred first attempts, and the additional burst. */
     std::uint32_t retryPercent = 20;
     std::uint32_t retryBurst = 50;
-    /** Time between two deletions of expired request keys, and rows deleted at once. */
+    /**
+     * Interval between two deletions of expired request keys, and the maximum number of rows per
+     * deletion.
+     */
     Duration keyExpiryInterval = std::chrono::seconds(60);
     std::uint32_t keyExpiryBatch = 500;
 };
--- a/src/contract/ExecutorOutcomes.cpp
+++ b/src/contract/ExecutorOutcomes.cpp
@@ -1,4 +1,4 @@
-// Results of programs of the group executor.
+// Processing of program results in the group executor.
 #include <algorithm>
 #include <utility>
 
@@ -67,7 +67,10 @@
     _topology.onStatus(server, status, _clock.now());
 }
 
-/** The floor is proved on the connection that runs the statement, just before it runs. */
+/**
+ * Evaluates the guard query. It verifies the read floor on the connection that runs the statement,
+ * immediately before the statement.
+ */
 void ExecutorCore::onGuardEnded(const RequestPointer& context, const CommandOutcome& outcome) {
     const std::optional<machine::ServerStatus> status = readStatus(outcome);
     if (status) {
@@ -167,7 +170,10 @@
     return false;
 }
 
-/** The commit of an implicit transaction failed, e.g. by a deferred constraint. */
+/**
+ * Forwards the error of a failed commit of an implicit transaction, e.g. a violated deferred
+ * constraint.
+ */
 void ExecutorCore::forwardCommitError(const RequestPointer& context) {
     const CommandOutcome* commit = outcomeOf(*context, CommandRole::ImplicitCommit);
     if (commit == nullptr || commit->kind != CommandOutcome::Kind::Failed) {
@@ -195,7 +201,7 @@
     return false;
 }
 
-/** A committed write, or one that can't be told from it. */
+/** @return whether the request committed a write, or may have committed one. */
 bool ExecutorCore::needsAcknowledgement(const RequestContext& context, bool hasWrites) const {
     if (!hasWrites) {
         return false;
@@ -205,7 +211,9 @@
     return committed(context) || (autocommit && !anyStepFailed(context));
 }
 
-/** The server turned out to be no primary before anything ran. */
+/**
+ * @return whether the server rejected the write because it is not the primary, before anything ran.
+ */
 bool ExecutorCore::reroutesRefusedWrite(const RequestContext& context) const {
     if (!context.isAutocommitWrite() || context.outbox.hasReleased() ||
         context.plan.hasTransactionControl) {
@@ -230,7 +238,8 @@
         return;
     }
     if (context->refusedAsReadOnly) {
-        // The classifier took a write for a read. Nothing ran; from here on it counts as a write.
+        // The classifier mistook a write for a read. Nothing ran; from now on the request counts as
+        // a write.
         releaseConnection(context, state);
         context->plan.readOnly = false;
         context->plan.writes = true;
@@ -299,7 +308,9 @@
     finish(context);
 }
 
-/** A command that the proxy put in front failed, so that the batch was skipped: an error says so.
+/**
+ * Reports an error for a batch that was skipped because a command that the proxy had put before it
+ * failed.
  */
 void ExecutorCore::reportSkippedBatch(const RequestPointer& context) {
     for (const CommandRole role : {CommandRole::Parameter, CommandRole::ImplicitBegin}) {
--- a/src/contract/ExecutorReports.cpp
+++ b/src/contract/ExecutorReports.cpp
@@ -1,4 +1,4 @@
-// What the group executor reports about itself.
+// Statistics and status reports of the group executor.
 #include "contract/ExecutorCore.h"
 
 namespace coralhoist::contract {
--- a/src/contract/ExecutorRouting.cpp
+++ b/src/contract/ExecutorRouting.cpp
@@ -1,4 +1,4 @@
-// Floors, choice of server, admission and start of programs of the group executor.
+// Read floors, server selection, admission and start of programs in the group executor.
 #include <algorithm>
 #include <tuple>
 #include <utility>
@@ -26,7 +26,7 @@
     return view != nullptr && view->isHealthy() && !view->leaving && !_pool.isUnreachable(server);
 }
 
-/** Routes everything that waits again when the primary or the usable servers have changed. */
+/** Routes all waiting requests again when the primary or the set of usable servers has changed. */
 void ExecutorCore::followRouting() {
     RoutingState state = currentRouting();
     if (state == _routing) {
@@ -92,7 +92,7 @@
     }
 }
 
-/** @return whether a floor is known without a sample of its own. */
+/** @return whether the read floor is known without a new majority sample. */
 bool ExecutorCore::assignFloor(const RequestPointer& context) {
     const ExecutionRequest& request = context->request;
     if (request.floor) {
@@ -112,7 +112,10 @@
     _floorWaits.back().requests.push_back(context->request.id);
 }
 
-/** A majority suffices; the other servers get a moment, because they lower the floor. */
+/**
+ * @return whether the sample can be used. A majority suffices, but the remaining servers get a
+ *         short grace period because their answers lower the floor.
+ */
 bool ExecutorCore::isSampleComplete(FloorWait& wait, std::size_t answers) const {
     const TimePoint now = _clock.now();
     if (!wait.majorityAt) {
@@ -157,7 +160,8 @@
         _toRoute.push_back(context->request.id);
         return;
     }
-    // Tokens stand for acknowledged writes, and the sample began after this one was presented.
+    // Tokens stand for acknowledged writes, and the sample began after this token was presented, so
+    // a valid token is never ahead of the sampled floor.
     const OpTime token = *context->request.floor;
     if (token.term > floor.term || token.position > floor.position) {
         refuse(context, Refusal::TokenFromFuture);
@@ -183,7 +187,10 @@
     return std::nullopt;
 }
 
-/** A read leaves a crowded replica when it can start on the primary without making anyone wait. */
+/**
+ * @return whether a read leaves a crowded replica for the primary. It does so only when it can
+ *         start there at once, without delaying other statements.
+ */
 bool ExecutorCore::overflowsToPrimary(const RequestContext& context,
                                       const ServerName& replica) const {
     return _routing.primary && _queues.at(replica).isCrowded() &&
@@ -191,9 +198,9 @@
 }
 
 /**
- * Prefers replicas that were seen to cover the floor, then such as have received it and will most
- * likely have replayed it when the statement arrives; the guard query decides. Among equals, the
- * one with the least work.
+ * Prefers replicas that are known to cover the floor, then replicas that have received the floor
+ * and have most likely replayed it when the statement arrives; the guard query verifies this. Among
+ * equals, chooses the replica with the smallest load.
  */
 std::optional<ServerName> ExecutorCore::chooseReplica(const RequestContext& context) {
     struct Choice {
@@ -266,7 +273,8 @@
             startInTransaction(context);
             continue;
         }
-        // Open transactions hold connections without a slot: some are left to urgent statements.
+        // Open transactions hold connections without holding a slot, so some connections are
+        // reserved for urgent statements.
         const bool ordinary = candidate->admissionClass == AdmissionClass::Ordinary;
         if (ordinary && _pool.busyCount(server) > 0 &&
             _pool.available(server) <= _settings.urgentReservedSlots) {
@@ -306,7 +314,8 @@
         builder.addParameters(request.sessionParameters);
     }
     if (context->opensImplicitTransaction()) {
-        // Back ends see a synchronisation point after each program; a real transaction spans them.
+        // Each program ends with a synchronization point on the back end, so an explicit
+        // transaction is needed to span several programs.
         builder.addStatement(CommandRole::ImplicitBegin, "BEGIN", ResultUse::Discard, false);
     }
     builder.addSteps(request.batch, !context->isKeyed());
@@ -347,7 +356,7 @@
     }
     builder.addSteps(request.batch, !implicitEnds);
     if (implicitEnds) {
-        // Forwarded only for the encoded error of a commit that fails.
+        // Uses ResultUse::Forward only to get the encoded error when the commit fails.
         builder.addStatement(CommandRole::ImplicitCommit, "COMMIT", ResultUse::Forward, true);
     }
     if (plan.commits || implicitEnds) {
--- a/src/contract/ExecutorStatistics.h
+++ b/src/contract/ExecutorStatistics.h
@@ -1,4 +1,4 @@
-/** Counters, gauges and operator status of one group executor. */
+/** Counters, gauges and status report of one group executor. */
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace coralhoist::contract {
 
-/** Counters since the start of the process and gauges of this moment. */
+/** Counters since the start of the process, and current gauges. */
 struct ExecutorStatistics {
     // Counters of requests.
     std::uint64_t submitted = 0;
@@ -24,9 +24,9 @@
     std::uint64_t shed = 0;
     std::uint64_t refusedNotRun = 0;
     std::uint64_t outcomeUnknown = 0;
-    /** Answered from a recorded outcome of a request key. */
+    /** Answered from the recorded outcome of a request key. */
     std::uint64_t answeredFromRecord = 0;
-    // Counters of mechanisms.
+    // Counters of internal mechanisms.
     std::uint64_t retries = 0;
     std::uint64_t retriesDenied = 0;
     std::uint64_t guardFailures = 0;
@@ -43,11 +43,14 @@
     std::uint64_t openTransactions = 0;
     std::uint64_t connectionsOpen = 0;
     std::uint64_t connectionsBusy = 0;
-    /** Time between the last two acknowledged writes around the latest change of primary. */
+    /**
+     * Time between the last acknowledged write before the latest change of primary and the first
+     * one after it.
+     */
     Duration lastFailoverGap{0};
 };
 
-/** One database server as this proxy sees it. */
+/** State of one database server as observed by this proxy. */
 struct ServerReport {
     ServerName server;
     bool primary = false;
@@ -56,19 +59,19 @@
     Term term = 0;
     LogPosition receivedPosition = 0;
     LogPosition replayedPosition = 0;
-    /** Time since the server was last known to hold all that was acknowledged by then. */
+    /** Time since the server was last known to hold every write that was acknowledged by then. */
     std::optional<Duration> lag;
     std::uint32_t connectionsOpen = 0;
     std::uint32_t connectionsBusy = 0;
     std::uint32_t queued = 0;
-    /** Last failure, empty when there was none since the last answer. */
+    /** Most recent failure; empty when the server has answered since without a failure. */
     std::string lastFailure;
 };
 
-/** The group as this proxy sees it. */
+/** State of the group as observed by this proxy. */
 struct GroupReport {
     GroupName group;
-    /** Confirmed primary; nothing while none is known. */
+    /** Confirmed primary; empty while none is known. */
     std::optional<ServerName> primary;
     Term term = 0;
     bool draining = false;
--- a/src/contract/ExecutorTimers.cpp
+++ b/src/contract/ExecutorTimers.cpp
@@ -94,7 +94,8 @@
             context->plan.commits || (transaction.implicit && !context->plan.flush);
         if (context->phase == RequestPhase::WaitingAcknowledgement ||
             (context->phase == RequestPhase::Running && mayCommit)) {
-            // The deadline of the request bounds a commit; it must not be cut here.
+            // A commit is bounded by the deadline of its request; the transaction's total time must
+            // not cut it short.
             transaction.totalDeadline = context->request.deadline + _knobs.abandonedProgramPatience;
             continue;
         }
--- a/src/contract/FloorHistory.cpp
+++ b/src/contract/FloorHistory.cpp
@@ -6,7 +6,10 @@
 namespace {
 
 constexpr std::size_t kMarksKept = 1024;
-/** Marks closer than this add nothing that a caller could notice. */
+/**
+ * Entries closer together than this are not stored, because callers can't notice such a small
+ * difference in staleness.
+ */
 constexpr Duration kMarkSpacing = std::chrono::milliseconds(5);
 
 }  // namespace
--- a/src/contract/FloorHistory.h
+++ b/src/contract/FloorHistory.h
@@ -1,4 +1,4 @@
-/** Floors of the recent past, for reads that accept bounded staleness. */
+/** Recent read floors, for reads that accept bounded staleness. */
 #pragma once
 
 #include <deque>
@@ -10,22 +10,27 @@
 namespace coralhoist::contract {
 
 /**
- * Remembers which floor held at which moment.
+ * Records which read floor was valid at which time.
  *
- * A read that may be s old takes the oldest floor not older than now - s: a server that covers this
- * floor shows everything acknowledged up to that moment, hence is at most s stale. A server whose
- * lag is not known proves itself by the guard query like any other.
+ * A read that accepts a staleness of s uses the oldest floor that is not older than now - s: a
+ * server that covers this floor shows everything acknowledged up to that time and is therefore at
+ * most s stale. A server whose lag is unknown is verified by the guard query like any other server.
  */
 class FloorHistory {
 public:
-    /** @param moment when the sample was asked for; all writes acknowledged by then are covered. */
+    /**
+     * @param moment when the sample was requested; the floor covers all writes acknowledged by
+     * then.
+     */
     void add(TimePoint moment, const OpTime& floor);
 
-    /** @return a floor that covers all acknowledged by now - staleness; nothing when none is known.
+    /**
+     * @return a floor that covers everything acknowledged by now - staleness; empty when none is
+     *         known.
      */
     std::optional<OpTime> floorWithin(Duration staleness, TimePoint now) const;
 
-    /** @return the latest moment whose floor the given replayed point covers. */
+    /** @return the latest time whose floor is covered by the replayed point. */
     std::optional<TimePoint> caughtUpAt(const OpTime& replayed) const;
 
 private:
--- a/src/contract/GroupExecutor.h
+++ b/src/contract/GroupExecutor.h
@@ -1,4 +1,7 @@
-/** Executes the batches of one database group on an owner proxy and keeps the promises. */
+/**
+ * Executes the batches of one database group on an owner proxy and enforces the consistency
+ * guarantees.
+ */
 #pragma once
 
 #include <memory>
@@ -20,14 +23,14 @@
  * The statement executor of one group. Single-threaded: all methods, all events of its connections
  * and all calls of its sinks happen on one thread, and no method blocks.
  *
- * Usage: construct, pass the object as BackendEvents to the connector, then call onTick whenever
- * nextTick is reached (and after any other call, nextTick may be earlier than before).
+ * Usage: construct the object, pass it as BackendEvents to the connector, then call onTick whenever
+ * nextTick is reached. After any other call, nextTick may return an earlier time than before.
  */
 class GroupExecutor final : public StatementExecutor, public BackendEvents {
 public:
     /**
      * @param settings of the group.
-     * @param clock, random, connector outlive the executor.
+     * @param clock, random, connector must outlive the executor.
      * @param knobs tuning constants.
      */
     GroupExecutor(settings::GroupSettings settings, const Clock& clock, RandomSource& random,
@@ -51,28 +54,38 @@
     void onProgramEnded(ConnectionId connection, ConnectionState state) override;
     void onLost(ConnectionId connection, bool sent, const std::string& message) override;
 
-    /** Replaces the group's settings; connections to servers that are gone are closed when idle. */
+    /** Replaces the group's settings; connections to removed servers are closed when idle. */
     void applySettings(settings::GroupSettings settings);
 
     /**
-     * Sets this proxy's role and its part of each server's connections and slots. Without a role,
-     * new batches are refused; those in flight and open transactions end with the former share.
+     * Sets this proxy's role and its share of each server's connections and slots. Without a role,
+     * new batches are refused; requests in flight and open transactions finish with the former
+     * share.
      */
     void setConnectionShare(ConnectionShare share);
 
-    /** Another proxy has seen a server of the group in this term: a hint to look at once. */
+    /**
+     * Another proxy has observed a server of the group in this term. The hint triggers an immediate
+     * status check.
+     */
     void onTermHint(Term term);
 
-    /** Handles everything that is due. */
+    /** Runs all timers that are due. */
     void onTick(TimePoint now);
 
-    /** @return when onTick must be called next; nothing when no timer runs. */
+    /** @return when onTick must be called next; empty when no timer is set. */
     std::optional<TimePoint> nextTick() const;
 
-    /** Planned stop: new transactions and statements outside one are refused as not run. */
+    /**
+     * Starts a planned shutdown: new transactions and statements outside a transaction are refused
+     * as not run.
+     */
     void drain();
 
-    /** @return whether draining and nothing is in flight: no request, no open transaction. */
+    /**
+     * @return whether the executor is draining and has no request in flight and no open
+     *         transaction.
+     */
     bool isDrained() const;
 
     ExecutorStatistics statistics() const;
--- a/src/contract/GroupRouter.cpp
+++ b/src/contract/GroupRouter.cpp
@@ -10,7 +10,7 @@
 namespace coralhoist::contract {
 namespace {
 
-/** What is told when an attempt takes too long; the batch is then abandoned there. */
+/** Builds the result of an attempt that timed out; the batch is then abandoned on that node. */
 ExecutionResult attemptTimedOut(const NodeName& node, const StatementBatch& batch) {
     const Refusal refusal = canCommitChanges(batch, OpenTransaction::None)
                                 ? Refusal::OutcomeUnknown
@@ -18,13 +18,16 @@
     return makeFailure(makeError(refusal, "proxy " + node.value() + " did not answer in time"));
 }
 
-/** An error that says "not run" is no longer true when an earlier attempt may have run. */
+/**
+ * Replaces an error that reports "not run", which is no longer certain when an earlier attempt may
+ * have run.
+ */
 void declareUnknown(ExecutionError& error) {
     error = makeError(Refusal::OutcomeUnknown,
                       "the last attempt ended with " + error.sqlState + ": " + error.message);
 }
 
-/** Replaces a batch that ends a transaction which is lost already. */
+/** Replaces a batch that ends an already lost transaction by a ROLLBACK. */
 void becomeRollback(ExecutionRequest& request) {
     StatementStep step = std::move(request.batch.steps.front());
     step.kind = StatementKind::Rollback;
@@ -85,10 +88,10 @@
     route.endsTransaction =
         !plan.openAtEnd || (session.open == OpenTransaction::Implicit && !plan.flush);
     if (route.rollsBack) {
-        // It can be answered even if its transaction is lost.
+        // A ROLLBACK can be answered even if its transaction is lost, so the whole request is kept.
         route.request = request;
     } else {
-        // What a route needs; the statements themselves are never sent a second time.
+        // Keeps only what the route needs; the statements themselves are never sent a second time.
         route.request.id = request.id;
         route.request.session = request.session;
         route.request.group = request.group;
@@ -172,7 +175,7 @@
         }
     }
     for (const RequestId id : waiting) {
-        // A sink may have ended the session of a later one.
+        // The sink of an earlier request may have ended the session of a later one.
         if (_routes.contains(id) && _routes.at(id).waiting) {
             tryNextOwner(id);
         }
@@ -277,11 +280,12 @@
     route.target = target;
     route.tried.push_back(target.node);
     moveSession(route.request.session, target);
-    // Waiting in this node's own executor is part of its job, e.g. for a new primary.
+    // No attempt timeout on this node: its own executor is expected to hold requests, e.g. until
+    // there is a new primary.
     if (target.node != _self && route.repeatable && chooseTarget(route)) {
         setTimer(route, attemptDeadline(route));
     }
-    // The executor may complete the request during the call, which ends the route.
+    // The executor may complete the request during the call, which deletes the route.
     target.executor->submit(route.request, *this);
 }
 
@@ -315,7 +319,7 @@
     for (std::uint32_t count = 0; count < route.pauses && pause < _knobs.backoffMaximum; ++count) {
         pause = nextBackoff(pause, _knobs.backoffMinimum, _knobs.backoffMaximum);
     }
-    // Requests that failed together shall not return together.
+    // Jitter keeps requests that failed together from retrying at the same time.
     return withJitter(pause, _random);
 }
 
@@ -327,7 +331,7 @@
     }
     SessionState& session = _sessions.at(route.request.session);
     if (route.rollsBack && !route.bytesDelivered) {
-        // The transaction is rolled back already; any owner can say so to the caller.
+        // The transaction is already rolled back, so any owner can answer the ROLLBACK.
         session.open = OpenTransaction::None;
         route.pinned = false;
         route.repeatable = true;
@@ -336,7 +340,8 @@
         return;
     }
     if (!route.endsTransaction) {
-        // The caller's next statements must not run outside of the transaction it believes in.
+        // The caller assumes that its transaction is still open, so its next statements must not
+        // run outside of it.
         session.transactionLost = true;
         result.transaction = route.request.transaction;
         result.transactionStatus = session.open == OpenTransaction::Implicit
--- a/src/contract/GroupRouter.h
+++ b/src/contract/GroupRouter.h
@@ -1,4 +1,4 @@
-/** Chooses the proxy that executes each batch, and moves on to another when that one can't. */
+/** Chooses the proxy that executes each batch, and retries on another one when that proxy can't. */
 #pragma once
 
 #include <chrono>
@@ -18,43 +18,52 @@
 
 namespace coralhoist::contract {
 
-/** Knows which proxies execute for a group. */
+/** Looks up the proxies that execute requests of a group. */
 class OwnerDirectory {
 public:
     virtual ~OwnerDirectory() = default;
 
     /**
-     * @return the owners of the group in the order in which they are to be asked: active ones, this
-     *         node first if it is one of them, then those that take over from them. Empty when none
-     *         is known. May be out of date.
+     * @return the owners of the group in the order in which to try them: active owners first (this
+     *         node before the others if it is one of them), then the standbys that take over from
+     *         them. Empty when no owner is known. May be out of date.
      */
     virtual std::vector<NodeName> owners(const GroupName& group) const = 0;
 };
 
-/** Knows how to reach proxies. */
+/** Looks up the executors of proxies. */
 class ExecutorDirectory {
 public:
     virtual ~ExecutorDirectory() = default;
 
     /**
      * @return the executor of the group on a node; it stays valid as long as the router. Null when
-     *         the node is not known, or when it is this node and does not execute for the group.
+     *         the node is not known, or when it is this node and does not execute requests of the
+     *         group.
      */
     virtual StatementExecutor* executor(const NodeName& node, const GroupName& group) = 0;
 };
 
 /** Tuning constants of the router. */
 struct RouterKnobs {
-    /** A batch that may be repeated waits so long for another proxy before it moves on. */
+    /**
+     * Time that a repeatable batch waits for another proxy's response before the next owner is
+     * tried.
+     */
     Duration attemptTimeout = std::chrono::seconds(2);
-    /** One attempt takes at most the time left divided by this while another owner is known. */
+    /**
+     * While another owner is known, one attempt takes at most the remaining time divided by this
+     * number.
+     */
     std::uint32_t attemptsPerDeadline = 2;
-    /** First and longest pause before all owners are tried again. */
+    /** Initial and maximum backoff before all owners are tried again. */
     Duration backoffMinimum = std::chrono::milliseconds(10);
     Duration backoffMaximum = std::chrono::milliseconds(250);
-    /** Batches waiting for an owner; more are refused as not run. */
+    /** Maximum number of batches that wait for an owner; further ones are refused as not run. */
     std::size_t waitingLimit = 4096;
-    /** Repeats of batches with unknown outcome per hundred first attempts, and the burst on top. */
+    /**
+     * Repeats of batches with unknown outcome per hundred first attempts, and the additional burst.
+     */
     std::uint32_t retryPercent = 20;
     std::uint32_t retryBurst = 50;
 };
@@ -62,17 +71,18 @@
 /**
  * The executor that callers' sessions use.
  *
- * Invariants: a transaction stays on the executor that began it, whatever the directory says later.
- * A batch is handed to a further executor only when the one before said that it did not run, or
- * when repeating does no harm (it changes nothing, or it carries a request key) and the caller has
- * seen no byte of an answer. Once an attempt at a change may have taken effect, the batch is never
- * reported as not run. Single-threaded; sinks get exactly one onCompleted for each request.
+ * Invariants: a transaction stays on the executor that began it, even when the directory changes. A
+ * batch is sent to another executor only when the previous one reported that the batch did not run,
+ * or when it is safe to repeat the batch (it changes nothing, or it carries a request key) and the
+ * caller has received no byte of a response. Once an attempt at a change may have taken effect, the
+ * batch is never reported as not run. Single-threaded; sinks get exactly one onCompleted for each
+ * request.
  */
 class GroupRouter final : public StatementExecutor, private ResponseSink {
 public:
     /**
      * @param self this node.
-     * @param owners, executors, clock, random outlive the router.
+     * @param owners, executors, clock, random must outlive the router.
      */
     GroupRouter(NodeName self, const OwnerDirectory& owners, ExecutorDirectory& executors,
                 const Clock& clock, RandomSource& random, RouterKnobs knobs = {});
@@ -82,16 +92,16 @@
     void cancel(RequestId id) override;
     void endSession(SessionId session) override;
 
-    /** Owners have changed: batches that wait for an owner are tried at once. */
+    /** Handles a change of owners: batches that wait for an owner are retried at once. */
     void onOwnersChanged();
 
-    /** Handles everything that is due. */
+    /** Runs all timers that are due. */
     void onTick(TimePoint now);
 
-    /** @return when onTick must be called next; nothing when no timer runs. */
+    /** @return when onTick must be called next; empty when no timer is set. */
     std::optional<TimePoint> nextTick() const;
 
-    /** @return batches that wait for an owner. */
+    /** @return the number of batches that wait for an owner. */
     std::size_t waitingCount() const { return _waiting; }
 
 private:
@@ -101,35 +111,38 @@
         StatementExecutor* executor = nullptr;
     };
 
-    /** One request between submit and its completion. */
+    /** One request from submit to its completion. */
     struct Route {
         ExecutionRequest request;
         ResponseSink* sink = nullptr;
-        /** Who has the request now; no executor while it waits for an owner. */
+        /**
+         * The proxy that currently has the request; its executor is null while the request waits
+         * for an owner.
+         */
         Target target;
-        /** Owners tried since the last pause. */
+        /** Owners tried since the last backoff. */
         std::vector<NodeName> tried;
         std::optional<TimePoint> timer;
         std::uint32_t pauses = 0;
-        /** Counted in _waiting. */
+        /** The request is counted in _waiting. */
         bool waiting = false;
-        /** Part of an open transaction; never leaves its executor. */
+        /** Part of an open transaction; the request never moves to another executor. */
         bool pinned = false;
-        /** What the batch does to the transaction it is part of. */
+        /** Effect of the batch on the transaction to which it belongs. */
         bool rollsBack = false;
         bool endsTransaction = false;
         bool repeatable = false;
         bool bytesDelivered = false;
         /** An earlier attempt may have taken effect. */
         bool mayHaveRun = false;
-        /** What the last attempt said; told to the caller when time runs out. */
+        /** Result of the last attempt; reported to the caller when the deadline passes. */
         ExecutionResult lastFailure;
     };
 
-    /** Where a session's last batch went. */
+    /** Routing state of a session: the target of its last batch and its open transaction. */
     struct SessionState {
         Target target;
-        /** The open transaction, which lives on the target. */
+        /** The open transaction, which exists on the target. */
         OpenTransaction open = OpenTransaction::None;
         /** The target lost the transaction, and the caller has not ended it yet. */
         bool transactionLost = false;
--- a/src/contract/MajoritySampler.h
+++ b/src/contract/MajoritySampler.h
@@ -1,4 +1,7 @@
-/** Shared status samples with a proven order relative to the waiters that use them. */
+/**
+ * Majority samples of server status, shared by all requests whose wait began before the queries
+ * were sent.
+ */
 #pragma once
 
 #include <cstdint>
@@ -12,7 +15,7 @@
 namespace coralhoist::contract {
 
 /**
- * A moment in the order of status queries: only queries sent after the ticket was taken count for
+ * A point in the sequence of status queries. Only queries sent after the ticket was taken count for
  * its holder.
  */
 using SampleTicket = std::uint64_t;
@@ -24,30 +27,35 @@
 };
 
 /**
- * Keeps the latest answered status query of each server with the order in which it was sent.
+ * Keeps the latest answered status query of each server with the sequence number under which it was
+ * sent.
  *
- * Any number of waiters share the queries: each holds a ticket and counts only answers to queries
- * sent after it. At most one query per server is in flight, and servers are independent, so one
- * that is slow or cut off holds nobody up once a majority has answered.
+ * Any number of requests share the queries: each holds a ticket and counts only answers to queries
+ * sent after the ticket was taken. At most one query per server is in flight, and servers are
+ * independent of each other, so a slow or partitioned server delays nothing once a majority has
+ * answered.
  */
 class MajoritySampler {
 public:
-    /** Replaces the servers; answers of those that stay are kept. */
+    /** Replaces the servers; answers of servers that remain are kept. */
     void setServers(const std::vector<ServerName>& servers);
 
-    /** @return a ticket of this moment; demands an answer newer than it from every server. */
+    /**
+     * @return a ticket for the current time; requests an answer newer than the ticket from every
+     *         server.
+     */
     SampleTicket takeTicket();
 
     /** @return whether a query to the server must be sent to satisfy the newest ticket. */
     bool wantsQuery(const ServerName& server) const;
 
-    /** A status query was sent to the server. */
+    /** Records that a status query was sent to the server. */
     void onQuerySent(const ServerName& server);
 
-    /** The query in flight was answered. */
+    /** Records the answer to the query in flight. */
     void onAnswer(const ServerName& server, const machine::ServerStatus& status);
 
-    /** The query in flight will not be answered. */
+    /** Records that the query in flight will not be answered. */
     void onQueryFailed(const ServerName& server);
 
     /** @return the answers to queries that were sent after the ticket was taken. */
@@ -65,7 +73,7 @@
     std::map<ServerName, ServerQueries> _servers;
     /** Sequence number of the last query sent. */
     std::uint64_t _sequence = 0;
-    /** Every server should answer a query with a sequence number above this. */
+    /** Every server should answer a query with a sequence number greater than this. */
     std::optional<SampleTicket> _demanded;
 };
 
--- a/src/contract/ProgramBuilder.h
+++ b/src/contract/ProgramBuilder.h
@@ -1,4 +1,4 @@
-/** Puts together the programs that the executor sends to back ends. */
+/** Builds the programs that the executor sends to back ends. */
 #pragma once
 
 #include <string>
@@ -11,20 +11,20 @@
 
 namespace coralhoist::contract {
 
-/** What a command of a program is for. */
+/** Purpose of a command in a program. */
 enum class CommandRole {
     Reset,          /**< Discards session state left by an earlier user of the connection. */
     Parameter,      /**< Applies a session parameter. */
-    Guard,          /**< Status query in front of statements that need a floor. */
+    Guard,          /**< Status query before statements that need a read floor. */
     Step,           /**< A step of the caller's batch. */
     ImplicitBegin,  /**< Opens the transaction of a batch that ends with Flush. */
-    ImplicitCommit, /**< Ends that transaction at the caller's Sync. */
+    ImplicitCommit, /**< Commits that transaction at the caller's Sync. */
     Status,         /**< Status query after a commit. */
-    KeyBegin,       /**< Opens the transaction that stores key, write and outcome. */
+    KeyBegin,       /**< Opens the transaction that stores the key, the write and the outcome. */
     KeyInsert,      /**< Claims the request key. */
-    KeyRecord,      /**< Stores the outcome beside the key. */
-    KeyCommit,      /**< Commits key, write and outcome. */
-    KeyRollback,    /**< Leaves a failed transaction. */
+    KeyRecord,      /**< Stores the outcome with the key. */
+    KeyCommit,      /**< Commits the key, the write and the outcome. */
+    KeyRollback,    /**< Rolls back a failed transaction. */
     KeySelect,      /**< Reads the recorded outcome. */
     KeyCreateTable, /**< Creates the table of request keys. */
 };
@@ -47,15 +47,15 @@
     /** @param statusQuery the group's status query. */
     explicit ProgramBuilder(std::string statusQuery) : _statusQuery(std::move(statusQuery)) {}
 
-    /** Discards all session state, in a segment of its own. */
+    /** Discards all session state, in a separate segment. */
     ProgramBuilder& addReset();
     /** Applies parameters within the segment of the statements that follow. */
     ProgramBuilder& addParameters(const std::vector<SessionParameter>& parameters);
-    /** A status query in a segment of its own. */
+    /** Adds a status query in a separate segment. */
     ProgramBuilder& addStatus(CommandRole role);
     /** @param sync whether the segment ends after the last step. */
     ProgramBuilder& addSteps(const StatementBatch& batch, bool sync);
-    /** A statement of the proxy. */
+    /** Adds a statement issued by the proxy itself. */
     ProgramBuilder& addStatement(CommandRole role, std::string sql, ResultUse use, bool sync,
                                  std::vector<ParameterValue> parameters = {});
 
--- a/src/contract/ReadFloor.cpp
+++ b/src/contract/ReadFloor.cpp
@@ -6,7 +6,7 @@
 namespace coralhoist::contract {
 namespace {
 
-/** Position of the primary of the newest term, when it is among the answers. */
+/** Position of the primary of the newest term, if that primary is among the answers. */
 std::optional<LogPosition> newestPrimaryPosition(
     const std::vector<machine::ServerStatus>& answers) {
     const auto newest = std::ranges::max_element(answers, {}, &machine::ServerStatus::term);
--- a/src/contract/RefusalDocumentation.h
+++ b/src/contract/RefusalDocumentation.h
@@ -1,4 +1,4 @@
-/** The table of the proxy's own errors for docs/ERRORS.md. */
+/** Generates the table of the proxy's own errors in docs/ERRORS.md. */
 #pragma once
 
 #include <string>
--- a/src/contract/Refusals.cpp
+++ b/src/contract/Refusals.cpp
@@ -12,7 +12,7 @@
 constexpr Duration kSoon = milliseconds(50);
 constexpr Duration kLater = milliseconds(250);
 
-/** @return what a router learns from a refusal. */
+/** @return the routing failure that a router derives from a refusal. */
 RoutingFailure routingFailure(Refusal refusal) {
     switch (refusal) {
         case Refusal::NotOwner:
--- a/src/contract/Refusals.h
+++ b/src/contract/Refusals.h
@@ -1,4 +1,4 @@
-/** Every error that the proxy itself gives to a caller, in one place. */
+/** Catalog of all errors that the proxy itself returns to callers. */
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
 
 namespace coralhoist::contract {
 
-/** Reasons for which the proxy, not the database, fails a request. */
+/** Reasons for which the proxy, rather than the database, fails a request. */
 enum class Refusal {
     Unsupported,
     QueueFull,
@@ -47,23 +47,26 @@
     const char* sqlState;
     RunState runState;
     const char* message;
-    /** What the caller should do. */
+    /** Recommended action of the caller. */
     const char* hint;
-    /** Pause suggested before the request is repeated; zero when that is no use. */
+    /** Suggested delay before the request is repeated; zero when a repeat does not help. */
     Duration retryAfter;
 };
 
-/** @return all refusals, in the order of the enumeration; the documentation's table. */
+/**
+ * @return all refusals in the order of the enumeration; the generated documentation uses this
+ *         table.
+ */
 const std::vector<RefusalEntry>& refusalTable();
 
 /**
  * @param refusal the reason.
- * @param detail what happened in this case; may be empty.
+ * @param detail description of this occurrence; may be empty.
  * @return the error; its routing failure follows from the reason.
  */
 ExecutionError makeError(Refusal refusal, std::string detail = {});
 
-/** @return the end of a request outside a transaction. */
+/** @return the result of a failed request outside a transaction. */
 inline ExecutionResult makeFailure(ExecutionError error) {
     ExecutionResult result;
     result.error = std::move(error);
--- a/src/contract/RequestContext.h
+++ b/src/contract/RequestContext.h
@@ -1,4 +1,4 @@
-/** Everything the executor knows about one request. */
+/** State of one request in the executor. */
 #pragma once
 
 #include <memory>
@@ -14,19 +14,19 @@
 
 namespace coralhoist::contract {
 
-/** Where a request is on its way. */
+/** Phase of a request's execution. */
 enum class RequestPhase {
-    Routing,                /**< About to be given a floor and a server. */
-    WaitingFloor,           /**< For a majority sample. */
-    WaitingPrimary,         /**< For a server that can execute it. */
-    WaitingPause,           /**< For the end of a pause before it is routed again. */
-    Queued,                 /**< For a slot and a connection of its server. */
-    Running,                /**< A program of it is on a connection. */
-    WaitingAcknowledgement, /**< Committed; for a majority sample that confirms it. */
-    Delivering,             /**< The result is decided; the sink takes the rest. */
+    Routing,                /**< Ready to be assigned a read floor and a server. */
+    WaitingFloor,           /**< Waits for a majority sample. */
+    WaitingPrimary,         /**< Waits for a primary that can execute the request. */
+    WaitingPause,           /**< Waits for a delay before the request is routed again. */
+    Queued,                 /**< Waits for a slot and a connection of its server. */
+    Running,                /**< One of the request's programs runs on a connection. */
+    WaitingAcknowledgement, /**< Committed; waits for a majority sample that confirms the commit. */
+    Delivering, /**< The result is final; the remaining response is delivered to the sink. */
 };
 
-/** Which program of a request is running or comes next. */
+/** The program of a request that is running or comes next. */
 enum class RequestStage {
     Plain,          /**< The batch itself, without a request key of its own. */
     KeyClaim,       /**< BEGIN, claim of the key, the batch. */
@@ -46,13 +46,13 @@
     // Routing.
     SampleTicket ticket = 0;
     std::optional<OpTime> floor;
-    /** A replica could not serve it. */
+    /** A replica could not serve the request. */
     bool primaryOnly = false;
-    /** Ends a transaction that is already rolled back: any server answers it. */
+    /** Ends a transaction that is already rolled back; any server can answer the request. */
     bool anyServer = false;
     /** The caller's token must be compared with the next sample. */
     bool verifiesToken = false;
-    /** Server on whose queue it waits or runs. */
+    /** Server in whose queue the request waits or on which it runs. */
     ServerName server;
     bool onReplica = false;
 
@@ -64,15 +64,17 @@
     bool appliedSessionState = false;
     bool guardFailed = false;
     bool refusedAsReadOnly = false;
-    /** Answered or abandoned before its program ended: what comes is dropped. */
+    /**
+     * The request was completed or abandoned before its program ended; further output is discarded.
+     */
     bool dropsOutput = false;
     bool readingPaused = false;
     Term executionTerm = 0;
-    /** A COMMIT of a keyed attempt was sent and its outcome is not known. */
+    /** A COMMIT of an attempt with a request key was sent and its outcome is unknown. */
     bool mayHaveCommitted = false;
     std::uint32_t tableCreations = 0;
 
-    // Answer.
+    // Response.
     ResponseOutbox outbox;
     bool sinkBlocked = false;
     bool outgoing = false;
@@ -81,7 +83,7 @@
 
     bool isKeyed() const { return request.requestKey.has_value(); }
     bool isOver() const { return phase == RequestPhase::Delivering; }
-    /** Writes and commits within the batch: it may take effect as soon as it is sent. */
+    /** Writes and commits within the batch; the batch may take effect as soon as it is sent. */
     bool isAutocommitWrite() const {
         const bool ends = plan.commits || (!plan.openAtEnd && !plan.flush);
         return !request.transaction && plan.writes && ends;
@@ -91,15 +93,15 @@
         return !request.transaction && plan.flush && !plan.describeOnly &&
                !plan.hasTransactionControl;
     }
-    /** Its answer shows data, so that the server must cover the floor. */
+    /** The response contains data, so the server must cover the read floor. */
     bool needsFloor() const {
         return !request.transaction && !isAutocommitWrite() && !plan.describeOnly && !anyServer;
     }
-    /** COMMIT or ROLLBACK alone, without a transaction: any server answers it alike. */
+    /** A lone COMMIT or ROLLBACK outside a transaction; any server answers it alike. */
     bool onlyEndsTransaction() const {
         return !request.transaction && plan.endsTransaction && request.batch.steps.size() == 1;
     }
-    /** Any healthy replica will do as well as the primary. */
+    /** A healthy replica can serve the request as well as the primary. */
     bool mayUseReplica() const {
         const bool readsOnly = plan.readOnly || (plan.readOnlyTransaction && !plan.writes);
         return readsOnly && !primaryOnly &&
--- a/src/contract/RequestKeyRecord.h
+++ b/src/contract/RequestKeyRecord.h
@@ -1,4 +1,4 @@
-/** What is stored with a request key: the fingerprint of the request and its whole answer. */
+/** Data stored with a request key: the fingerprint of the request and its complete response. */
 #pragma once
 
 #include <optional>
@@ -13,10 +13,10 @@
 /** Fingerprint recorded for the key of an explicit transaction. */
 inline constexpr const char* kTransactionFingerprint = "transaction";
 
-/** @return a hash of everything that makes the batch what it is: SQL, parameters and formats. */
+/** @return a hash of everything that identifies the batch: SQL, parameters and formats. */
 std::string fingerprintOf(const StatementBatch& batch);
 
-/** @return the pieces of an answer as one value. */
+/** @return the pieces of a response encoded as one value. */
 std::string encodeOutcome(const std::vector<ResponsePiece>& pieces);
 
 /**
--- a/src/contract/RequestKeySql.h
+++ b/src/contract/RequestKeySql.h
@@ -1,4 +1,4 @@
-/** Statements on the table of request keys, which lives beside the data of each group. */
+/** SQL statements for the table of request keys, which is stored in the database of each group. */
 #pragma once
 
 namespace coralhoist::contract {
@@ -22,7 +22,7 @@
     "SELECT fingerprint, outcome FROM coralhoist_request_keys WHERE service = $1 AND request_key "
     "= $2";
 
-/** Parameters: age in seconds (text), most rows (text). */
+/** Parameters: age in seconds (text), maximum number of rows (text). */
 inline constexpr const char* kDeleteExpiredRequestKeys =
     "DELETE FROM coralhoist_request_keys WHERE ctid IN (SELECT ctid FROM coralhoist_request_keys "
     "WHERE created_at < now() - $1::interval LIMIT $2::bigint)";
--- a/src/contract/ResponseOutbox.h
+++ b/src/contract/ResponseOutbox.h
@@ -1,4 +1,4 @@
-/** Response of one request on its way to the sink. */
+/** Buffers the response of one request for its sink. */
 #pragma once
 
 #include <deque>
@@ -11,7 +11,7 @@
 
 namespace coralhoist::contract {
 
-/** Bytes of one step's answer. */
+/** Part of the response to one step. */
 struct ResponsePiece {
     std::size_t stepIndex = 0;
     std::string bytes;
@@ -21,18 +21,18 @@
 };
 
 /**
- * Holds what may not be given yet and queues what may.
+ * Holds back response pieces that must not be delivered yet, and queues those that may.
  *
- * Invariant: pieces reach the sink in the order in which they came. While holding, only rows beyond
- * the limit leave, and never the last piece, which carries the completion: the caller can't take an
- * unacknowledged write for done.
+ * Invariant: pieces reach the sink in the order in which they arrived. While the outbox holds
+ * pieces back, only rows beyond the limit are released, and never the last piece, which contains
+ * the completion: otherwise the caller could take an unacknowledged write for completed.
  */
 class ResponseOutbox {
 public:
-    /** Starts to hold what comes. */
+    /** Starts to hold back the pieces that arrive from now on. */
     void hold() { _holding = true; }
 
-    /** @param heldBytesLimit beyond it, all but the last piece is released. */
+    /** @param heldBytesLimit held bytes beyond which all pieces but the last are released. */
     void add(ResponsePiece piece, std::size_t heldBytesLimit) {
         if (!_holding) {
             enqueue(std::move(piece));
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Queues what is held, and holds no more. */
+    /** Queues the held pieces for delivery and stops holding back. */
     void release() {
         for (ResponsePiece& piece : _held) {
             enqueue(std::move(piece));
@@ -56,7 +56,7 @@
         _holding = false;
     }
 
-    /** Forgets what is held; it is not for the caller. */
+    /** Discards the held pieces, which must not reach the caller. */
     void clearHeld() {
         _held.clear();
         _heldBytes = 0;
--- a/src/contract/RetryBudget.h
+++ b/src/contract/RetryBudget.h
@@ -1,4 +1,4 @@
-/** Bounds retries to a share of the traffic. */
+/** Bounds retries to a fraction of the traffic. */
 #pragma once
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 public:
     /**
      * @param percent retries earned by a hundred first attempts.
-     * @param burst most retries saved up; the bucket starts full.
+     * @param burst maximum number of saved retries; the bucket starts full.
      */
     RetryBudget(std::uint32_t percent, std::uint32_t burst)
         : _percent(percent),
@@ -20,7 +20,7 @@
 
     void onFirstAttempt() { _tokens = std::min(_limit, _tokens + _percent); }
 
-    /** @return whether a retry may be made; takes it out of the budget. */
+    /** @return whether a retry is allowed; takes one retry from the budget if so. */
     bool tryRetry() {
         if (_tokens < kTokensPerRetry) {
             return false;
--- a/src/contract/SqlStates.h
+++ b/src/contract/SqlStates.h
@@ -1,4 +1,4 @@
-/** SQLSTATE codes and command tags of PostgreSQL on which decisions depend. */
+/** PostgreSQL's SQLSTATE codes and command tags that the proxy interprets. */
 #pragma once
 
 namespace coralhoist::contract {
@@ -7,9 +7,9 @@
 inline constexpr const char* kReadOnlyTransaction = "25006";
 inline constexpr const char* kUndefinedTable = "42P01";
 inline constexpr const char* kQueryCanceled = "57014";
-/** Class of errors with which a server ends a session; a commit may have come before. */
+/** Class of errors with which a server terminates a session; a commit may have succeeded before. */
 inline constexpr const char* kOperatorIntervention = "57P";
-/** Tag of COMMIT when the transaction had failed before. */
+/** Tag of COMMIT in a transaction that had already failed. */
 inline constexpr const char* kRollbackTag = "ROLLBACK";
 
 }  // namespace coralhoist::contract
--- a/src/contract/Statement.h
+++ b/src/contract/Statement.h
@@ -1,5 +1,5 @@
 /**
- * What a caller asks to run: a batch of steps up to a synchronisation point.
+ * A batch of steps up to a synchronization point, as submitted by a caller.
  *
  * A batch is the unit of execution. It comes from one simple Query message (split into its
  * statements) or from the extended-protocol messages up to Sync or Flush. The steps of one batch
@@ -14,11 +14,11 @@
 
 namespace coralhoist::contract {
 
-/** What a statement does, as far as routing is concerned. */
+/** Effect of a statement, as far as routing depends on it. */
 enum class StatementKind {
-    Read,           /**< Certainly changes nothing; may run on a replica. */
-    Write,          /**< May change data; also everything in doubt. */
-    Begin,          /**< BEGIN or START TRANSACTION. */
+    Read,  /**< Certainly changes nothing; may run on a replica. */
+    Write, /**< May change data; also the kind of every statement that can't be classified. */
+    Begin, /**< BEGIN or START TRANSACTION. */
     BeginReadOnly,  /**< BEGIN READ ONLY. */
     Commit,         /**< COMMIT or END. */
     Rollback,       /**< ROLLBACK or ABORT of the whole transaction. */
@@ -30,7 +30,7 @@
 /** Text or binary encoding of a value. */
 enum class ValueFormat : std::int16_t { Text = 0, Binary = 1 };
 
-/** One parameter of a statement; no bytes means NULL. */
+/** One parameter of a statement; absent bytes mean NULL. */
 struct ParameterValue {
     std::optional<std::string> bytes;
     ValueFormat format = ValueFormat::Text;
@@ -38,10 +38,10 @@
     bool operator==(const ParameterValue&) const = default;
 };
 
-/** What a step asks of the back end. */
+/** Operation that a step requests from the back end. */
 enum class StepAction {
     Execute,      /**< Run the statement and return its rows. */
-    DescribeOnly, /**< Return parameter types and row description; run nothing. */
+    DescribeOnly, /**< Return parameter types and row description without running the statement. */
 };
 
 /** One statement of a batch. */
@@ -53,8 +53,10 @@
     std::vector<std::uint32_t> parameterTypes;
     std::vector<ParameterValue> parameters;
     ValueFormat resultFormat = ValueFormat::Text;
-    /** Send a RowDescription before the rows: always in the simple protocol, else after Describe of
-     * the portal. */
+    /**
+     * Send a RowDescription before the rows: always in the simple protocol, otherwise only after
+     * Describe of the portal.
+     */
     bool describeRows = true;
     /** May leave session state behind on the connection (DDL of temporary objects, SET, ...). */
     bool changesSession = false;
@@ -62,7 +64,7 @@
 
 /** How a batch ends. */
 enum class BatchEnd {
-    Sync,  /**< Implicit transaction ends here; ReadyForQuery follows. */
+    Sync,  /**< The implicit transaction ends here; ReadyForQuery follows. */
     Flush, /**< More steps of the same implicit transaction follow; the connection stays pinned. */
 };
 
--- a/src/contract/StatusMonitor.cpp
+++ b/src/contract/StatusMonitor.cpp
@@ -70,7 +70,8 @@
         _topology.onStatus(server, *status, now);
         return;
     }
-    // A server that answers at once but never with a status must not be asked in a tight loop.
+    // Backs off, because a server that answers at once but never with a valid status must not be
+    // polled in a tight loop.
     link.backoff =
         nextBackoff(link.backoff, _knobs.reconnectBackoffMinimum, _knobs.reconnectBackoffMaximum);
     _sampler.onQueryFailed(server);
--- a/src/contract/StatusMonitor.h
+++ b/src/contract/StatusMonitor.h
@@ -1,4 +1,6 @@
-/** Keeps a status connection to every server of a group and asks for its status when needed. */
+/**
+ * Keeps a status connection to every server of a group and polls the server's status when needed.
+ */
 #pragma once
 
 #include <map>
@@ -17,20 +19,20 @@
 namespace coralhoist::contract {
 
 /**
- * One status connection per server. A query is sent when the sampler wants one or the status
- * interval has passed. A query that is not answered in time costs the connection, and the server
- * counts as failed until it answers again.
+ * Health check with one status connection per server. A query is sent when the sampler requests one
+ * or the status interval has passed. When a query is not answered in time, its connection is closed
+ * and the server counts as failed until it answers again.
  */
 class StatusMonitor {
 public:
-    /** All references outlive the monitor. */
+    /** The referenced objects must outlive the monitor. */
     StatusMonitor(BackendConnector& connector, RandomSource& random, const ExecutorKnobs& knobs,
                   machine::GroupTopology& topology, MajoritySampler& sampler);
 
-    /** @param active whether to keep status connections at all. */
+    /** @param active whether status connections are kept at all. */
     void configure(const settings::GroupSettings& settings, bool active);
 
-    /** @return whether the connection is one of the monitor's. */
+    /** @return whether the connection belongs to the monitor. */
     bool owns(ConnectionId connection) const { return _owners.contains(connection); }
 
     void onOpened(ConnectionId connection, TimePoint now);
@@ -39,24 +41,27 @@
     void onProgramEnded(ConnectionId connection, TimePoint now);
     void onLost(ConnectionId connection, TimePoint now);
 
-    /** @param searching whether to ask often, because a new primary is awaited. */
+    /** @param searching whether to poll frequently because a new primary is awaited. */
     void setSearching(bool searching) { _searching = searching; }
 
-    /** Opens connections, sends queries and gives up on late ones, as is due. */
+    /**
+     * Opens connections, sends queries that are due, and abandons queries that exceed their
+     * timeout.
+     */
     void pump(TimePoint now);
 
     /** @return when pump must be called next. */
     std::optional<TimePoint> nextTick() const;
 
-    /** @return whether an answer or failure has come since the last call. */
+    /** @return whether an answer or failure has arrived since the last call. */
     bool takeNews();
 
-    /** @return whether an answer of the server can be expected soon. */
+    /** @return whether the server is expected to answer soon. */
     bool isAnswering(const ServerName& server) const;
 
     std::uint64_t queriesSent() const { return _queriesSent; }
 
-    /** @return connections open or being opened. */
+    /** @return the number of connections that are open or being opened. */
     std::size_t connectionCount() const { return _owners.size(); }
 
 private:
@@ -64,7 +69,7 @@
     struct Link {
         LinkState state = LinkState::Closed;
         std::optional<ConnectionId> connection;
-        /** When the state was entered, or the last query was sent. */
+        /** Time when the state was entered, or when the last query was sent. */
         TimePoint since{};
         TimePoint nextAttempt{};
         TimePoint lastQuery{};
--- a/src/contract/StatusQuery.cpp
+++ b/src/contract/StatusQuery.cpp
@@ -11,7 +11,7 @@
 
 constexpr int kDecimal = 10;
 constexpr int kHexadecimal = 16;
-/** Bits of the second half of a position in PostgreSQL's text form. */
+/** Number of bits of the second half of a log position in PostgreSQL's text form. */
 constexpr unsigned kPositionHalfBits = 32;
 
 std::optional<std::uint64_t> parseWhole(std::string_view text, int base) {
@@ -28,7 +28,7 @@
     return text ? parseWhole(*text, kDecimal) : 0;
 }
 
-/** Reads a position as a number of bytes or as pg_lsn, e.g. "16/B374D848". */
+/** Parses a log position given as a number of bytes or as pg_lsn, e.g. "16/B374D848". */
 std::optional<std::uint64_t> readPosition(const std::optional<std::string>& text) {
     const std::size_t slash = text ? text->find('/') : std::string::npos;
     if (slash == std::string::npos) {
--- a/src/contract/TransactionTable.h
+++ b/src/contract/TransactionTable.h
@@ -1,4 +1,4 @@
-/** Open transactions and the connections that they pin. */
+/** Open transactions and the connections pinned to them. */
 #pragma once
 
 #include <optional>
@@ -18,7 +18,7 @@
     TransactionId id;
     SessionId session;
     ServerName server;
-    /** The pinned connection; nothing once the proxy has rolled the transaction back. */
+    /** The pinned connection; empty after the proxy has rolled the transaction back. */
     std::optional<ConnectionId> connection;
     /** Term in which the transaction began; 0 on a replica. */
     Term term = 0;
@@ -27,11 +27,13 @@
     bool implicit = false;
     bool failed = false;
     bool hasWrites = false;
-    /** Its session state may have changed: the connection is reset afterwards. */
+    /** The session state may have changed, so the connection is reset after the transaction. */
     bool changesSession = false;
-    /** Why the proxy rolled it back, as long as the caller has not been told. */
+    /**
+     * Why the proxy rolled the transaction back, until the reason has been reported to the caller.
+     */
     std::optional<Refusal> untoldReason;
-    /** Request that runs in it at the moment. */
+    /** Request that currently runs in the transaction. */
     std::optional<RequestId> running;
     ConnectionPool::Parameters parameters;
     Duration idleTimeout{0};
@@ -41,7 +43,7 @@
 
     bool isOpen() const { return connection.has_value(); }
 
-    /** @return what the caller is told; an implicit transaction shows no state of its own. */
+    /** @return the status reported to the caller; an implicit transaction is reported as idle. */
     TransactionStatus status() const {
         if (implicit) {
             return TransactionStatus::Idle;
@@ -50,19 +52,20 @@
     }
 };
 
-/** A transaction whose time is up. */
+/** A transaction that exceeded its idle or total time limit. */
 struct ExpiredTransaction {
     TransactionId id;
     Refusal reason = Refusal::IdleTransactionTimedOut;
 };
 
 /**
- * The transactions of one executor. One that the proxy had to roll back stays as a tombstone, so
- * that the session's further statements are refused until it ends the transaction.
+ * The transactions of one executor. A transaction that the proxy had to roll back stays as a
+ * tombstone, so that further statements of the session are refused until the session ends the
+ * transaction.
  */
 class TransactionTable {
 public:
-    /** Adds a transaction and numbers it. */
+    /** Adds a transaction and assigns its identifier. */
     Transaction& add(Transaction transaction);
 
     Transaction* find(TransactionId id);
@@ -70,10 +73,13 @@
 
     std::vector<TransactionId> ofSession(SessionId session) const;
 
-    /** The pinned connection of an idle transaction broke: the transaction becomes a tombstone. */
+    /**
+     * Handles the loss of the pinned connection of an idle transaction: the transaction becomes a
+     * tombstone.
+     */
     void onConnectionLost(ConnectionId connection);
 
-    /** @return the open transactions whose idle or total time is up. */
+    /** @return the open transactions that exceeded their idle or total time limit. */
     std::vector<ExpiredTransaction> expired(TimePoint now) const;
 
     /** @return when the next transaction expires. */
--- a/tests/contract/ExecutorAdmissionTest.cpp
+++ b/tests/contract/ExecutorAdmissionTest.cpp
@@ -1,4 +1,4 @@
-/** Slots, queues and connections under pressure. */
+/** Slots, queues and connections under load. */
 #include <CppUTest/TestHarness.h>
 
 #include "FakeBackend.h"
@@ -46,7 +46,8 @@
 
 TEST(ExecutorAdmission, ReadsOverflowFromCrowdedReplicasOnlyIntoFreeSlotsOfThePrimary) {
     backend.heldStatements = {"search"};
-    // One slot a server is left to ordinary statements, and a queue is crowded from four on.
+    // One slot per server is reserved for ordinary statements, and a queue counts as crowded from
+    // four statements on.
     constexpr int kReplicasTake = 2 * (1 + 4);
     for (int count = 0; count < kReplicasTake; ++count) {
         read("search");
--- a/tests/contract/ExecutorKeyTest.cpp
+++ b/tests/contract/ExecutorKeyTest.cpp
@@ -1,4 +1,4 @@
-/** Requests under a key. */
+/** Requests with a request key. */
 #include <CppUTest/TestHarness.h>
 
 #include "FakeBackend.h"
@@ -87,7 +87,7 @@
     const RequestId id = fixture.submit(request);
     fixture.advance(milliseconds(20));
     CHECK_EQUAL(1, backend.countExecuted("update"));
-    // The primary dies with COMMIT on its way; the new one turns out to have the key.
+    // The primary crashes while the COMMIT is in flight; the new primary turns out to have the key.
     backend.refusing = {kServerA};
     backend.silent = {kServerA};
     backend.heldStatements.clear();
--- a/tests/contract/ExecutorReadTest.cpp
+++ b/tests/contract/ExecutorReadTest.cpp
@@ -1,4 +1,4 @@
-/** Floors, guards and back-pressure of reads. */
+/** Read floors, guard queries and back-pressure of reads. */
 #include <CppUTest/TestHarness.h>
 
 #include "FakeBackend.h"
@@ -28,7 +28,8 @@
 }
 
 TEST(ExecutorRead, WithoutTokenSeesAWriteAcknowledgedElsewhereJustBefore) {
-    // Another proxy had a write acknowledged by a and b; c lags, and so does the last sample.
+    // A write of another proxy was acknowledged by a and b; c lags, and the last sample is
+    // outdated.
     backend.statuses[kServerA] = {false, 1, 200, 200};
     backend.statuses[kServerB] = {true, 1, 200, 200};
     const RequestId id = read();
@@ -65,7 +66,7 @@
 
 TEST(ExecutorRead, OfThePrimaryIsNotServedByOneThatWasReplaced) {
     fixture.service.readRouting = settings::ReadRouting::Primary;
-    // The sample shows term 2 on b and c, while a still believes that it leads.
+    // The sample shows term 2 on b and c, while a still reports itself as primary.
     fixture.elect(kServerB, 2, {kServerC});
     const RequestId id = read();
     fixture.advance(milliseconds(100));
@@ -89,7 +90,8 @@
     const RequestId early = read();
     CHECK_TRUE(fixture.isOver(early));
     CHECK_EQUAL(samples, fixture.executor->statistics().statusSamples);
-    // Both replicas stop while the primary goes on: beyond 400 ms only the primary may answer.
+    // Both replicas stop replicating while the primary advances; after 400 ms only the primary may
+    // serve the read.
     backend.statuses[kServerA] = {false, 1, 900, 900};
     fixture.advance(milliseconds(450));
     backend.statuses[kServerB].receivedPosition = 900;
@@ -156,7 +158,7 @@
         }
     }
     const std::string chunk(200000, 'x');
-    // The guard's segment precedes the statement.
+    // The segment of the guard query precedes the statement.
     CommandOutcome guard;
     guard.rows.push_back({{"t", "1", "100", "100"}});
     fixture.executor->onCommandEnded(connection, 0, guard);
--- a/tests/contract/ExecutorTransactionTest.cpp
+++ b/tests/contract/ExecutorTransactionTest.cpp
@@ -1,4 +1,4 @@
-/** Transactions, sessions and the planned stop. */
+/** Transactions, sessions and planned shutdown. */
 #include <CppUTest/TestHarness.h>
 
 #include "FakeBackend.h"
@@ -64,7 +64,7 @@
     const RequestId other = fixture.submit("other", StatementKind::Write);
     fixture.advance(milliseconds(100));
     CHECK_TRUE(fixture.isOver(other));
-    // The transaction still holds one connection in a transaction, and only one.
+    // The transaction still pins exactly one connection.
     int inTransaction = 0;
     for (const auto& [id, connection] : backend.connections) {
         inTransaction += connection.state == ConnectionState::InTransaction;
@@ -76,7 +76,8 @@
 TEST(ExecutorTransaction, LostConnectionMakesEveryStatementFailUntilItsEnd) {
     const TransactionId transaction = begin();
     backend.loseAll(kServerA);
-    // The first statement tells why, the others that the transaction is over.
+    // The first statement gets the reason, the later ones only get the error that the transaction
+    // is aborted.
     const RequestId first = run(transaction, "update", StatementKind::Write);
     STRCMP_EQUAL("08006", fixture.sqlState(first).c_str());
     CHECK_TRUE(fixture.answer(first).result->error->runState == RunState::RolledBack);
@@ -164,7 +165,7 @@
 }
 
 TEST(ExecutorTransaction, BatchSkippedByARefusedBeginIsAnError) {
-    // As when a cancel request hits the BEGIN that the proxy puts in front.
+    // Simulates a cancel request that hits the BEGIN which the proxy puts before the batch.
     backend.answers["BEGIN"].kind = CommandOutcome::Kind::Failed;
     backend.answers["BEGIN"].sqlState = "57014";
     ExecutionRequest first = fixture.request("update", StatementKind::Write);
@@ -286,13 +287,14 @@
     settings::GroupSettings settings = fixture.settings;
     settings.urgentReservedSlots = 0;
     fixture.executor->applySettings(settings);
-    // Two connections per server beside the status connection.
+    // Two data connections per server in addition to the status connection.
     fixture.executor->setConnectionShare({OwnerRole::Active, 3, 5});
     ExecutionRequest first = fixture.request("one", StatementKind::Write);
     first.sessionParameters = {{"search_path", "depot"}};
     fixture.submit(std::move(first));
     fixture.advance(milliseconds(20));
-    // One untouched connection is left: a second plain statement must take the used one.
+    // One unused connection is left, so a second statement without parameters must get the used
+    // one.
     backend.heldStatements = {"two"};
     for (int count = 0; count < 2; ++count) {
         fixture.session = SessionId(static_cast<std::uint64_t>(10 + count));
--- a/tests/contract/ExecutorWriteTest.cpp
+++ b/tests/contract/ExecutorWriteTest.cpp
@@ -1,4 +1,4 @@
-/** Acknowledgement, fencing and unknown outcomes of writes. */
+/** Majority acknowledgement, fencing and unknown outcomes of writes. */
 #include <CppUTest/TestHarness.h>
 
 #include "FakeBackend.h"
@@ -13,7 +13,10 @@
     ExecutorFixture fixture;
     FakeBackend& backend = fixture.backend;
 
-    /** The primary's position moves with each write; replicas follow when told. */
+    /**
+     * The primary's position advances with each write; replicas advance only when the test sets
+     * their position.
+     */
     void writesAdvancePrimary() {
         backend.onExecute = [this](const ServerName& server, const std::string& sql) {
             if (sql.starts_with("update")) {
--- a/tests/contract/FakeBackend.h
+++ b/tests/contract/FakeBackend.h
@@ -1,4 +1,4 @@
-/** A back-end connector whose servers answer from tables that the test changes. */
+/** A back-end connector whose simulated servers answer from tables that the test changes. */
 #pragma once
 
 #include <deque>
@@ -26,7 +26,7 @@
     TimePoint _now{std::chrono::seconds(1000)};
 };
 
-/** Servers that execute programs at once, unless a statement is held. */
+/** Simulated servers that execute programs at once unless a statement is held. */
 class FakeBackend final : public BackendConnector {
 public:
     struct Connection {
@@ -52,11 +52,11 @@
     }
     void close(ConnectionId connection) override { connections.erase(connection); }
 
-    /** Delivers events until there are none. */
+    /** Delivers events until none is pending. */
     void deliver();
-    /** Lets the held programs of a server go on. */
+    /** Resumes the programs that are held at the statement. */
     void unhold(const std::string& sql);
-    /** Breaks the connection on which a statement is held. */
+    /** Breaks the connection on which the statement is held. */
     void loseHeld(const std::string& sql, bool sent);
     /** Breaks every connection to a server. */
     void loseAll(const ServerName& server);
@@ -69,11 +69,14 @@
     std::map<ServerName, machine::ServerStatus> statuses;
     /** Servers that refuse connections. */
     std::set<ServerName> refusing;
-    /** Servers that answer nothing. */
+    /** Servers that answer neither connection attempts nor programs. */
     std::set<ServerName> silent;
     /** Statements that are executed only after unhold. */
     std::set<std::string> heldStatements;
-    /** Answers to statements; absent: success with one row that repeats the statement. */
+    /**
+     * Responses to statements. A statement without an entry succeeds with one row that repeats the
+     * statement.
+     */
     std::map<std::string, CommandOutcome> answers;
     /** Called when a statement is executed. */
     std::function<void(const ServerName&, const std::string&)> onExecute;
@@ -90,7 +93,7 @@
     std::deque<std::function<void()>> _pending;
 };
 
-/** Records what a request's sink gets. */
+/** Records the calls to a request's sink. */
 class RecordingSink final : public ResponseSink {
 public:
     struct Answer {
@@ -111,7 +114,7 @@
 struct ExecutorFixture {
     ExecutorFixture();
 
-    /** Moves time in steps and delivers all that becomes due. */
+    /** Advances time in steps and delivers every event that becomes due. */
     void advance(Duration duration);
     void settle();
     ExecutionRequest request(const std::string& sql, StatementKind kind);
@@ -122,7 +125,7 @@
     RecordingSink::Answer& answer(RequestId id) { return sink.answers[id]; }
     bool isOver(RequestId id) { return answer(id).completions == 1; }
     std::string sqlState(RequestId id);
-    /** All servers move to the term; `primary` leads it. */
+    /** Moves all followers to the term and makes `primary` its primary. */
     void elect(const ServerName& primary, Term term, const std::set<ServerName>& followers);
     void setPositions(LogPosition position);
 
--- a/tests/contract/PartsTest.cpp
+++ b/tests/contract/PartsTest.cpp
@@ -1,4 +1,7 @@
-/** The small classes of the contract: floor, sampler, queue, outbox, record, refusals. */
+/**
+ * Unit tests of the small classes: read floor, sampler, admission queue, outbox, key record,
+ * refusals.
+ */
 #include <CppUTest/TestHarness.h>
 
 #include <algorithm>
@@ -47,7 +50,10 @@
     CHECK_TRUE((floor == OpTime{2, 100}));
 }
 
-/** Random histories in which a write is acknowledged: the floor of any majority covers it. */
+/**
+ * Generates random histories with an acknowledged write; the read floor of any majority must cover
+ * the write.
+ */
 TEST(ReadFloor, CoversEveryAcknowledgedWriteOfRandomHistories) {
     SeededRandom random(11);
     for (int round = 0; round < 20000; ++round) {
@@ -62,7 +68,8 @@
                 holds ? write.position + random.below(5) : random.below(write.position + 40);
             servers.push_back({true, term, position, position});
         }
-        // One holder leads the term: its log holds every write acknowledged in it.
+        // One server that holds the write is primary of the term: its log holds every write
+        // acknowledged in that term.
         servers.front().inRecovery = false;
         while (servers.size() > majority && random.below(2) == 0) {
             servers.erase(servers.begin() +
--- a/tests/contract/RefusalDocumentationTest.cpp
+++ b/tests/contract/RefusalDocumentationTest.cpp
@@ -1,4 +1,4 @@
-/** docs/ERRORS.md is the table that the code holds. */
+/** Checks that docs/ERRORS.md matches the table in the code. */
 #include <CppUTest/TestHarness.h>
 
 #include <fstream>
--- a/tests/contract/StatusQueryTest.cpp
+++ b/tests/contract/StatusQueryTest.cpp
@@ -1,4 +1,6 @@
-/** Answers to the status query, and what happens when a server's answer is no status. */
+/**
+ * Parsing of status query results, and the backoff when a server's answer is not a valid status.
+ */
 #include <CppUTest/TestHarness.h>
 
 #include "FakeBackend.h"
--- a/tests/contract_simulation/ContractSimulationTest.cpp
+++ b/tests/contract_simulation/ContractSimulationTest.cpp
@@ -1,4 +1,4 @@
-/** Seeded runs of the real executors under faults, alone and in pairs. */
+/** Seeded simulations of the real executors under faults, with one executor and with two. */
 #include <CppUTest/TestHarness.h>
 
 #include <algorithm>
@@ -14,12 +14,15 @@
 namespace coralhoist::simulation {
 namespace {
 
-/** Runs of each plan in one test run; CORALHOIST_SIMULATION_ROUNDS overrides it. */
+/** Runs of each plan in one test run; CORALHOIST_SIMULATION_ROUNDS overrides the number. */
 constexpr std::uint64_t kDefaultRounds = 3;
-/** Runs share nothing, so that a few threads shorten the wait. */
+/** The runs are independent of each other, so a few threads shorten the test. */
 constexpr std::size_t kThreads = 4;
 
-/** Longest election, discovery of its winner and the first answers. */
+/**
+ * Upper bound of the median gap: longest election, discovery of the new primary and its first
+ * responses.
+ */
 constexpr Duration kMedianGapLimit = std::chrono::milliseconds(400);
 
 std::uint64_t rounds() {
@@ -27,7 +30,7 @@
     return text != nullptr ? std::strtoull(text, nullptr, 10) : kDefaultRounds;
 }
 
-/** Every plan in every round, a seed for each. */
+/** Combines every plan with every round; each combination has its own seed. */
 std::vector<RunOptions> allRuns() {
     std::vector<RunOptions> runs;
     for (std::uint64_t round = 0; round < rounds(); ++round) {
@@ -83,7 +86,7 @@
     CHECK_TRUE(total.acknowledgedWrites > 0);
 }
 
-/** The election takes 200 to 350 ms; the rest of the gap is the proxies'. */
+/** The election takes 200 to 350 ms; the proxies cause the rest of the gap. */
 TEST(ContractSimulation, WritesGoOnSoonAfterThePrimaryCrashes) {
     std::vector<RunOptions> runs;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
--- a/tests/router/GroupRouterProperties.cpp
+++ b/tests/router/GroupRouterProperties.cpp
@@ -1,4 +1,4 @@
-/** Properties of the router that hold for any course of events. */
+/** Property tests: invariants of the router for every sequence of attempt outcomes. */
 #include <CppUTest/TestHarness.h>
 #include <rapidcheck.h>
 
@@ -14,13 +14,13 @@
 using contract::StatementKind;
 using testing::RouterFixture;
 
-/** What an owner does with the batch it got. */
+/** Outcome of an attempt at an owner. */
 enum class Fate { Succeeds, RefusesAsNotOwner, IsUnreachable, LosesAnswer, Sheds, StaysSilent };
 
 struct Course {
     StatementKind kind;
     bool hasKey;
-    /** One for each attempt; the rest succeed. */
+    /** Outcomes of the first attempts, one each; all later attempts succeed. */
     std::vector<Fate> fates;
 };
 
@@ -34,7 +34,7 @@
                          Fate::LosesAnswer, Fate::Sheds, Fate::StaysSilent))));
 }
 
-/** Plays a course and counts the attempts that took effect or may have. */
+/** Runs one scenario and counts the attempts that took effect or may have. */
 class Play {
 public:
     explicit Play(const Course& course) : _course(course) {}
@@ -52,7 +52,7 @@
                 _fixture.advance(std::chrono::milliseconds(100));
             }
         }
-        // The executor that has the batch ends it at the deadline.
+        // The executor that has the batch must end it at the deadline.
         if (!_fixture.sink.isComplete(1) && _silent) {
             complete(*_silent, isWrite() ? Refusal::OutcomeUnknown : Refusal::StatementTimedOut);
         }
@@ -66,7 +66,7 @@
 private:
     using Submission = testing::FakeExecutor::Submission;
 
-    /** @return whether there was an attempt without an answer. */
+    /** @return whether there was an attempt without a response, which then got one. */
     bool answerOne() {
         for (auto& [node, executor] : _fixture.executors) {
             if (executor.submissions.size() > _answered[node]) {
@@ -99,7 +99,7 @@
             case Fate::LosesAnswer:
                 return loseAnswer(submission);
             case Fate::StaysSilent:
-                // The router may move on; the batch may still run here.
+                // The router may try another owner; the batch may still run on this one.
                 _silent = submission;
                 effects += isWrite() ? 1 : 0;
                 return;
@@ -126,7 +126,8 @@
 };
 
 TEST_GROUP(GroupRouterProperties){void setup() override{
-    // The library reads its seed and its number of cases from here; a given value wins.
+    // RapidCheck reads its seed and its number of cases from this variable; a value that is already
+    // set takes precedence.
     setenv("RC_PARAMS", "seed=1 max_success=5000", 0);
 }  // namespace
 };  // namespace coralhoist
--- a/tests/router/RouterFixture.h
+++ b/tests/router/RouterFixture.h
@@ -14,14 +14,14 @@
 
 namespace coralhoist::testing {
 
-/** Clock that the test moves. */
+/** Clock that the test advances. */
 class ManualClock final : public Clock {
 public:
     TimePoint now() const override { return time; }
     TimePoint time{std::chrono::hours(1)};
 };
 
-/** Node "self" and three others; all reachable unless removed. */
+/** Node "self" and three other nodes; all are reachable unless removed. */
 class RouterFixture final : private contract::OwnerDirectory, private contract::ExecutorDirectory {
 public:
     explicit RouterFixture(contract::RouterKnobs knobs = {})
@@ -42,7 +42,7 @@
     void fail(const std::string& node, contract::Refusal refusal) {
         fail(node, contract::makeError(refusal));
     }
-    /** The owner's answer to the last batch is lost. */
+    /** Simulates the loss of the owner's response to the last batch. */
     void loseAnswer(const std::string& node, contract::Refusal refusal) {
         contract::ExecutionError error = contract::makeError(refusal);
         error.routingFailure = contract::RoutingFailure::OwnerUnreachable;
