--- a/tests/contract_simulation/ContractSimulationTest.cpp
+++ b/tests/contract_simulation/ContractSimulationTest.cpp
@@ -1,4 +1,4 @@
-/** Seeded simulations of the real executors under faults, with one executor and with two. */
+/** Seeded simulations of the real executors under single faults and pairs of faults. */
 #include <CppUTest/TestHarness.h>
 
 #include <algorithm>
