--- a/src/contract/ExecutorConnections.cpp
+++ b/src/contract/ExecutorConnections.cpp
@@ -98,7 +98,7 @@
 }
 
 /** Handles the end of a program that no longer belongs to a request. */
-void ExecutorCore::finishHousekeeping(ConnectionId connection, ConnectionState state) {
+void ExecutorCore::finishInternalProgram(ConnectionId connection, ConnectionState state) {
     const ConnectionUser user = _users.at(connection);
     if (user.slot) {
         _queues[_pool.serverOf(connection)].finish(*user.slot);
@@ -188,7 +188,7 @@
     }
     ConnectionUser user;
     user.kind = ConnectionUser::Kind::Reset;
-    user.closeAt = _clock.now() + _knobs.abandonedProgramPatience;
+    user.closeAt = _clock.now() + _knobs.abandonedProgramTimeout;
     _users[connection] = user;
     ProgramBuilder builder(_settings.statusQuery);
     _connector.run(connection, builder.addReset().take().program);
@@ -206,7 +206,7 @@
 void ExecutorCore::rollBackConnection(ConnectionId connection) {
     ConnectionUser user;
     user.kind = ConnectionUser::Kind::Rollback;
-    user.closeAt = _clock.now() + _knobs.abandonedProgramPatience;
+    user.closeAt = _clock.now() + _knobs.abandonedProgramTimeout;
     _users[connection] = user;
     ProgramBuilder builder(_settings.statusQuery);
     builder.addStatement(CommandRole::KeyRollback, "ROLLBACK", ResultUse::Discard, true);
@@ -226,7 +226,7 @@
     ConnectionUser user;
     user.kind = ConnectionUser::Kind::Abandoned;
     user.slot = std::exchange(context->slot, std::nullopt);
-    user.closeAt = _clock.now() + _knobs.abandonedProgramPatience;
+    user.closeAt = _clock.now() + _knobs.abandonedProgramTimeout;
     _users[connection] = user;
     if (context->readingPaused) {
         _connector.setReading(connection, true);
@@ -242,8 +242,8 @@
  * progress that could report it.
  */
 void ExecutorCore::abortTransaction(Transaction& transaction, bool close,
-                                    std::optional<Refusal> untold) {
-    transaction.untoldReason = untold;
+                                    std::optional<Refusal> unreported) {
+    transaction.unreportedReason = unreported;
     const ConnectionId connection = *transaction.connection;
     transaction.connection.reset();
     if (close) {
--- a/src/contract/ExecutorCore.cpp
+++ b/src/contract/ExecutorCore.cpp
@@ -35,7 +35,7 @@
       _random(random),
       _connector(connector),
       _knobs(knobs),
-      _topology(knobs.unconfirmedTermPatience),
+      _topology(knobs.unconfirmedTermTimeout),
       _monitor(connector, random, _knobs, _topology, _sampler),
       _pool(connector, random, _knobs),
       _retryBudget(knobs.retryPercent, knobs.retryBurst) {
@@ -44,14 +44,14 @@
 
 void ExecutorCore::reconfigure() {
     const std::vector<ServerName> names = serverNames(_settings);
-    const bool active = _shareInForce.role != OwnerRole::None;
+    const bool active = _effectiveShare.role != OwnerRole::None;
     _topology.setServers(names, _settings.leavingServers);
     _sampler.setServers(names);
     _monitor.configure(_settings, active);
     PoolLimits limits;
     // The status monitor uses one connection per server.
-    limits.connectionsPerServer = active && _shareInForce.connectionsPerServer > 0
-                                      ? _shareInForce.connectionsPerServer - 1
+    limits.connectionsPerServer = active && _effectiveShare.connectionsPerServer > 0
+                                      ? _effectiveShare.connectionsPerServer - 1
                                       : 0;
     limits.concurrentConnects = _settings.concurrentConnects;
     limits.warmConnections = std::min(_settings.warmConnections, limits.connectionsPerServer);
@@ -59,7 +59,7 @@
     for (const ServerName& name : names) {
         _queues[name];
     }
-    const AdmissionLimits admission{_shareInForce.slotsPerServer, _settings.urgentReservedSlots,
+    const AdmissionLimits admission{_effectiveShare.slotsPerServer, _settings.urgentReservedSlots,
                                     _settings.queueLimit, _knobs.urgentBurst};
     for (auto& [name, queue] : _queues) {
         queue.setLimits(admission);
@@ -82,13 +82,13 @@
  * batch. Batches that it has accepted finish with the connections, slots and status samples of the
  * former share, which are released only afterwards.
  */
-void ExecutorCore::adoptShare() {
+void ExecutorCore::updateEffectiveShare() {
     const bool hasWork = !_requests.empty() || _transactions.openCount() > 0;
     const bool finishes = _share.role == OwnerRole::None && hasWork;
-    if (finishes || _shareInForce == _share) {
+    if (finishes || _effectiveShare == _share) {
         return;
     }
-    _shareInForce = _share;
+    _effectiveShare = _share;
     reconfigure();
 }
 
@@ -184,7 +184,7 @@
         }
         return true;
     }
-    return enterTombstone(context, *transaction);
+    return handleTombstone(context, *transaction);
 }
 
 /**
@@ -192,13 +192,14 @@
  * error before any statement of the transaction may end without one: COMMIT is never reported as
  * successful.
  */
-bool ExecutorCore::enterTombstone(const RequestPointer& context, Transaction& transaction) {
+bool ExecutorCore::handleTombstone(const RequestPointer& context, Transaction& transaction) {
     ExecutionRequest& request = context->request;
     const BatchPlan& plan = context->plan;
-    const std::optional<Refusal> untold = std::exchange(transaction.untoldReason, std::nullopt);
+    const std::optional<Refusal> unreported =
+        std::exchange(transaction.unreportedReason, std::nullopt);
     const bool implicit = transaction.implicit;
     const bool implicitEnds = implicit && !plan.flush;
-    if (plan.endsTransaction && (!untold || !plan.commits)) {
+    if (plan.endsTransaction && (!unreported || !plan.commits)) {
         _transactions.erase(transaction.id);
         request.transaction.reset();
         request.batch.steps = {makeRollbackStep(request.batch.steps.front())};
@@ -213,8 +214,8 @@
         context->result.transaction = transaction.id;
         context->result.transactionStatus = transaction.status();
     }
-    if (untold) {
-        refuse(context, *untold);
+    if (unreported) {
+        refuse(context, *unreported);
     } else if (implicitEnds || request.batch.steps.empty() || implicit) {
         finish(context);
     } else {
@@ -255,8 +256,8 @@
         if (context->phase == RequestPhase::Running) {
             abandon(context, context->request.transaction.has_value());
         }
-        leavePhase(context);
-        forget(context);
+        clearQueueAndDeadline(context);
+        removeRequest(context);
     }
     for (const TransactionId id : _transactions.ofSession(session)) {
         endTransactionOfSession(id);
@@ -292,7 +293,7 @@
     if (transaction == nullptr || !transaction->implicit || context->plan.flush) {
         return;
     }
-    leavePhase(context);
+    clearQueueAndDeadline(context);
     context->phase = RequestPhase::Routing;
     if (transaction->isOpen()) {
         abortTransaction(*transaction, false, std::nullopt);
@@ -329,7 +330,7 @@
 
 /** Marks the result as final; only its delivery remains. */
 void ExecutorCore::finish(const RequestPointer& context) {
-    leavePhase(context);
+    clearQueueAndDeadline(context);
     const std::optional<TransactionId> id = context->request.transaction;
     if (Transaction* transaction = id ? _transactions.find(*id) : nullptr) {
         if (transaction->running == context->request.id) {
@@ -342,14 +343,14 @@
     queueDelivery(context);
 }
 
-void ExecutorCore::leavePhase(const RequestPointer& context) {
+void ExecutorCore::clearQueueAndDeadline(const RequestPointer& context) {
     if (context->phase == RequestPhase::Queued) {
         _queues[context->server].remove(context->request.id);
     }
     _deadlines.erase({context->request.deadline, context->request.id});
 }
 
-void ExecutorCore::forget(const RequestPointer& context) {
+void ExecutorCore::removeRequest(const RequestPointer& context) {
     const RequestId id = context->request.id;
     if (const auto found = _sessionRequests.find(context->request.session);
         found != _sessionRequests.end()) {
@@ -399,7 +400,7 @@
         }
     }
     if (context->isOver() && context->outbox.empty()) {
-        forget(context);
+        removeRequest(context);
         ++_statistics.completed;
         context->sink->onCompleted(id, std::move(context->result));
     }
@@ -411,12 +412,12 @@
     }
     _settling = true;
     do {
-        adoptShare();
-        if (_monitor.takeNews()) {
+        updateEffectiveShare();
+        if (_monitor.consumeUpdate()) {
             resolveAcknowledgements();
         }
         resolveFloorWaits();
-        followRouting();
+        updateRouting();
         routeAll();
         dispatch();
         _pool.pump(_clock.now());
--- a/src/contract/ExecutorCore.h
+++ b/src/contract/ExecutorCore.h
@@ -96,10 +96,10 @@
 
     // ExecutorCore.cpp: request lifecycle; ExecutorTimers.cpp: deadlines.
     void reconfigure();
-    void adoptShare();
+    void updateEffectiveShare();
     std::optional<Refusal> checkAdmissible(const RequestContext& context) const;
     bool enterTransaction(const RequestPointer& context);
-    bool enterTombstone(const RequestPointer& context, Transaction& transaction);
+    bool handleTombstone(const RequestPointer& context, Transaction& transaction);
     void settle();
     void deliverOutgoing();
     void deliver(const RequestPointer& context);
@@ -108,8 +108,8 @@
     void endRefusedImplicitTransaction(const RequestPointer& context);
     void refuse(const RequestPointer& context, Refusal refusal, std::string detail = {});
     void finish(const RequestPointer& context);
-    void leavePhase(const RequestPointer& context);
-    void forget(const RequestPointer& context);
+    void clearQueueAndDeadline(const RequestPointer& context);
+    void removeRequest(const RequestPointer& context);
     void runTimers();
     void expireTransactions();
     void expireRequests();
@@ -135,7 +135,7 @@
     void enqueue(const RequestPointer& context, const ServerName& server);
     void pauseBeforeRoute(const RequestPointer& context);
     RoutingState currentRouting() const;
-    void followRouting();
+    void updateRouting();
     void dispatch();
     void dispatchServer(const ServerName& server, AdmissionQueue& queue);
     void startOnPool(const RequestPointer& context, const PoolLease& lease);
@@ -149,7 +149,7 @@
     void onStepEnded(const RequestPointer& context, std::size_t stepIndex,
                      const CommandOutcome& outcome);
     void onGuardEnded(const RequestPointer& context, const CommandOutcome& outcome);
-    void noteStatus(const ServerName& server, const machine::ServerStatus& status);
+    void recordStatus(const ServerName& server, const machine::ServerStatus& status);
     void onRequestProgramEnded(const RequestPointer& context, ConnectionState state);
     void finishPlain(const RequestPointer& context, ConnectionState state);
     void finishInTransaction(const RequestPointer& context, ConnectionState state);
@@ -159,7 +159,7 @@
     void awaitAcknowledgement(const RequestPointer& context);
     void resolveAcknowledgements();
     void acknowledge(const RequestPointer& context);
-    void onReplaced(const RequestPointer& context);
+    void onPrimaryReplaced(const RequestPointer& context);
     void retryGuard(const RequestPointer& context);
     bool tryRetry();
     void restart(const RequestPointer& context);
@@ -167,13 +167,13 @@
     void releaseConnection(const RequestPointer& context, ConnectionState state);
     void rollBackConnection(ConnectionId connection);
     void resetConnection(ConnectionId connection);
-    void finishHousekeeping(ConnectionId connection, ConnectionState state);
+    void finishInternalProgram(ConnectionId connection, ConnectionState state);
     void cancelProgram(ConnectionId connection);
     void reportSkippedBatch(const RequestPointer& context);
     void abandon(const RequestPointer& context, bool close);
     void pin(const RequestPointer& context, ConnectionState state);
     void unpin(const RequestPointer& context, Transaction& transaction, ConnectionState state);
-    void abortTransaction(Transaction& transaction, bool close, std::optional<Refusal> untold);
+    void abortTransaction(Transaction& transaction, bool close, std::optional<Refusal> unreported);
     void onRequestLost(const RequestPointer& context, bool sent, const std::string& message);
     void onTransactionRequestLost(const RequestPointer& context, bool sent,
                                   const std::string& message);
@@ -206,7 +206,7 @@
      * The share in effect. A former owner keeps its former share until the requests that it
      * accepted have ended.
      */
-    ConnectionShare _shareInForce;
+    ConnectionShare _effectiveShare;
 
     machine::GroupTopology _topology;
     MajoritySampler _sampler;
--- a/src/contract/ExecutorKnobs.h
+++ b/src/contract/ExecutorKnobs.h
@@ -27,7 +27,7 @@
      */
     std::size_t undeliveredBytesLimit = std::size_t{256} << 10U;
     /** Time to wait for the remaining servers after a majority has answered a sample. */
-    Duration sampleGrace = std::chrono::milliseconds(3);
+    Duration sampleGracePeriod = std::chrono::milliseconds(3);
     /** Minimum interval between two status queries to one server. */
     Duration sampleSpacing = std::chrono::microseconds(500);
     /** Interval between status queries while the group has no usable primary. */
@@ -36,7 +36,7 @@
      * Time for which writes to the older primary are suspended after a newer term was seen that no
      * majority confirms.
      */
-    Duration unconfirmedTermPatience = std::chrono::seconds(3);
+    Duration unconfirmedTermTimeout = std::chrono::seconds(3);
     /** Initial and maximum backoff before a refused or failed connection attempt is retried. */
     Duration reconnectBackoffMinimum = std::chrono::milliseconds(20);
     Duration reconnectBackoffMaximum = std::chrono::seconds(2);
@@ -46,7 +46,7 @@
      * Time after which the connection of an abandoned program is closed if the program has not
      * ended.
      */
-    Duration abandonedProgramPatience = std::chrono::seconds(1);
+    Duration abandonedProgramTimeout = std::chrono::seconds(1);
     /** Delay before a read that no server could serve is routed again. */
     Duration rerouteBackoff = std::chrono::milliseconds(5);
     /** Maximum number of consecutive urgent statements admitted while an ordinary one waits. */
--- a/src/contract/ExecutorOutcomes.cpp
+++ b/src/contract/ExecutorOutcomes.cpp
@@ -56,14 +56,14 @@
         onStepEnded(context, label.stepIndex, outcome);
     } else if (label.role == CommandRole::Status) {
         if (const auto status = readStatus(outcome)) {
-            noteStatus(context->server, *status);
+            recordStatus(context->server, *status);
         }
     }
     context->outcomes.push_back(std::move(outcome));
     settle();
 }
 
-void ExecutorCore::noteStatus(const ServerName& server, const machine::ServerStatus& status) {
+void ExecutorCore::recordStatus(const ServerName& server, const machine::ServerStatus& status) {
     _topology.onStatus(server, status, _clock.now());
 }
 
@@ -74,7 +74,7 @@
 void ExecutorCore::onGuardEnded(const RequestPointer& context, const CommandOutcome& outcome) {
     const std::optional<machine::ServerStatus> status = readStatus(outcome);
     if (status) {
-        noteStatus(context->server, *status);
+        recordStatus(context->server, *status);
         context->executionTerm = status->term;
     }
     const bool needsPrimary = !context->mayUseReplica();
@@ -114,7 +114,7 @@
     if (user.kind == ConnectionUser::Kind::Request) {
         onRequestProgramEnded(findRequest(user.request), state);
     } else {
-        finishHousekeeping(connection, state);
+        finishInternalProgram(connection, state);
     }
     settle();
 }
--- a/src/contract/ExecutorRouting.cpp
+++ b/src/contract/ExecutorRouting.cpp
@@ -27,7 +27,7 @@
 }
 
 /** Routes all waiting requests again when the primary or the set of usable servers has changed. */
-void ExecutorCore::followRouting() {
+void ExecutorCore::updateRouting() {
     RoutingState state = currentRouting();
     if (state == _routing) {
         return;
@@ -125,7 +125,7 @@
         return _monitor.isAnswering(entry.first);
     });
     return answers >= static_cast<std::size_t>(answering) ||
-           now >= *wait.majorityAt + _knobs.sampleGrace;
+           now >= *wait.majorityAt + _knobs.sampleGracePeriod;
 }
 
 void ExecutorCore::resolveFloorWaits() {
@@ -293,7 +293,7 @@
     }
     const std::size_t waiting =
         queue.queued(AdmissionClass::Urgent) + queue.queued(AdmissionClass::Ordinary);
-    _pool.setDemand(server, std::min<std::size_t>(waiting, _shareInForce.slotsPerServer));
+    _pool.setDemand(server, std::min<std::size_t>(waiting, _effectiveShare.slotsPerServer));
 }
 
 void ExecutorCore::startOnPool(const RequestPointer& context, const PoolLease& lease) {
--- a/src/contract/ExecutorTimers.cpp
+++ b/src/contract/ExecutorTimers.cpp
@@ -96,7 +96,7 @@
             (context->phase == RequestPhase::Running && mayCommit)) {
             // A commit is bounded by the deadline of its request; the transaction's total time must
             // not cut it short.
-            transaction.totalDeadline = context->request.deadline + _knobs.abandonedProgramPatience;
+            transaction.totalDeadline = context->request.deadline + _knobs.abandonedProgramTimeout;
             continue;
         }
         if (context->phase == RequestPhase::Running) {
@@ -148,7 +148,7 @@
     }
     for (const FloorWait& wait : _floorWaits) {
         if (wait.majorityAt) {
-            consider(*wait.majorityAt + _knobs.sampleGrace);
+            consider(*wait.majorityAt + _knobs.sampleGracePeriod);
         }
     }
     for (const auto& [connection, user] : _users) {
--- a/src/contract/FloorHistory.h
+++ b/src/contract/FloorHistory.h
@@ -34,11 +34,11 @@
     std::optional<TimePoint> caughtUpAt(const OpTime& replayed) const;
 
 private:
-    struct Mark {
+    struct Entry {
         TimePoint moment;
         OpTime floor;
     };
-    std::deque<Mark> _marks;
+    std::deque<Entry> _entries;
 };
 
 }  // namespace coralhoist::contract
--- a/src/contract/GroupRouter.cpp
+++ b/src/contract/GroupRouter.cpp
@@ -22,13 +22,13 @@
  * Replaces an error that reports "not run", which is no longer certain when an earlier attempt may
  * have run.
  */
-void declareUnknown(ExecutionError& error) {
+void reportAsUnknown(ExecutionError& error) {
     error = makeError(Refusal::OutcomeUnknown,
                       "the last attempt ended with " + error.sqlState + ": " + error.message);
 }
 
 /** Replaces a batch that ends an already lost transaction by a ROLLBACK. */
-void becomeRollback(ExecutionRequest& request) {
+void replaceByRollback(ExecutionRequest& request) {
     StatementStep step = std::move(request.batch.steps.front());
     step.kind = StatementKind::Rollback;
     step.sql = "ROLLBACK";
@@ -111,7 +111,7 @@
     if (plan.endsTransaction) {
         session.transactionLost = false;
         session.open = OpenTransaction::None;
-        becomeRollback(request);
+        replaceByRollback(request);
         submitToAnyOwner(std::move(request), sink);
         return;
     }
@@ -221,7 +221,7 @@
         return;
     }
     if (result.error && mayTryAgain(route, *result.error)) {
-        noteFailure(route, std::move(result));
+        recordFailure(route, std::move(result));
         tryNextOwner(id);
         return;
     }
@@ -246,7 +246,7 @@
     return false;
 }
 
-void GroupRouter::noteFailure(Route& route, ExecutionResult result) {
+void GroupRouter::recordFailure(Route& route, ExecutionResult result) {
     route.mayHaveRun = route.mayHaveRun || result.error->runState == RunState::Unknown;
     route.lastFailure = std::move(result);
 }
@@ -335,7 +335,7 @@
         session.open = OpenTransaction::None;
         route.pinned = false;
         route.repeatable = true;
-        becomeRollback(route.request);
+        replaceByRollback(route.request);
         tryNextOwner(id);
         return;
     }
@@ -363,7 +363,7 @@
     if (route.mayHaveRun && result.error &&
         (result.error->runState == RunState::NotRun ||
          result.error->runState == RunState::RolledBack)) {
-        declareUnknown(*result.error);
+        reportAsUnknown(*result.error);
     }
     SessionState& session = _sessions.at(route.request.session);
     std::erase(session.running, id);
@@ -393,7 +393,7 @@
     const SessionId session = route.request.session;
     _sessions.at(session).target = Target{};
     abandoned.executor->endSession(session);
-    noteFailure(route, attemptTimedOut(abandoned.node, route.request.batch));
+    recordFailure(route, attemptTimedOut(abandoned.node, route.request.batch));
     tryNextOwner(route.request.id);
 }
 
--- a/src/contract/GroupRouter.h
+++ b/src/contract/GroupRouter.h
@@ -165,7 +165,7 @@
     void waitForOwner(Route& route);
     void finish(RequestId id, ExecutionResult result);
     bool mayTryAgain(const Route& route, const ExecutionError& error);
-    void noteFailure(Route& route, ExecutionResult result);
+    void recordFailure(Route& route, ExecutionResult result);
     void onTimer(RequestId id, TimePoint now);
     void onAttemptTimeout(Route& route);
     void moveSession(SessionId session, const Target& target);
--- a/src/contract/StatusMonitor.cpp
+++ b/src/contract/StatusMonitor.cpp
@@ -62,7 +62,7 @@
 void StatusMonitor::onCommandEnded(ConnectionId connection, const CommandOutcome& outcome,
                                    TimePoint now) {
     const ServerName server = _owners.at(connection);
-    _news = true;
+    _updated = true;
     Link& link = _links.at(server);
     if (const auto status = readStatus(outcome)) {
         link.backoff = Duration(0);
@@ -101,7 +101,7 @@
     }
     _sampler.onQueryFailed(server);
     _topology.onFailure(server, signal);
-    _news = true;
+    _updated = true;
     link.state = LinkState::Closed;
     link.since = now;
     link.backoff =
@@ -176,10 +176,10 @@
     return next;
 }
 
-bool StatusMonitor::takeNews() {
-    const bool news = _news;
-    _news = false;
-    return news;
+bool StatusMonitor::consumeUpdate() {
+    const bool updated = _updated;
+    _updated = false;
+    return updated;
 }
 
 bool StatusMonitor::isAnswering(const ServerName& server) const {
--- a/src/contract/StatusMonitor.h
+++ b/src/contract/StatusMonitor.h
@@ -54,7 +54,7 @@
     std::optional<TimePoint> nextTick() const;
 
     /** @return whether an answer or failure has arrived since the last call. */
-    bool takeNews();
+    bool consumeUpdate();
 
     /** @return whether the server is expected to answer soon. */
     bool isAnswering(const ServerName& server) const;
@@ -91,7 +91,7 @@
     Duration _interval{0};
     Duration _timeout{0};
     bool _active = false;
-    bool _news = false;
+    bool _updated = false;
     bool _searching = false;
     std::uint64_t _queriesSent = 0;
     std::map<ServerName, Link> _links;
--- a/src/contract/TransactionTable.cpp
+++ b/src/contract/TransactionTable.cpp
@@ -40,7 +40,7 @@
     for (auto& [id, transaction] : _transactions) {
         if (transaction.connection == connection) {
             transaction.connection.reset();
-            transaction.untoldReason = Refusal::TransactionConnectionLost;
+            transaction.unreportedReason = Refusal::TransactionConnectionLost;
         }
     }
 }
--- a/src/contract/TransactionTable.h
+++ b/src/contract/TransactionTable.h
@@ -32,7 +32,7 @@
     /**
      * Why the proxy rolled the transaction back, until the reason has been reported to the caller.
      */
-    std::optional<Refusal> untoldReason;
+    std::optional<Refusal> unreportedReason;
     /** Request that currently runs in the transaction. */
     std::optional<RequestId> running;
     ConnectionPool::Parameters parameters;
