--- a/tests/contract/ExecutorAdmissionTest.cpp
+++ b/tests/contract/ExecutorAdmissionTest.cpp
@@ -61,7 +61,7 @@
     CHECK_EQUAL(kReplicasTake - 2 + 1, fixture.executor->statistics().ordinaryQueued);
 }
 
-TEST(ExecutorAdmission, AStandbyExecutesWhatReachesItAndANodeWithoutRoleNothing) {
+TEST(ExecutorAdmission, AStandbyExecutesForwardedRequestsAndANodeWithoutRoleNone) {
     fixture.executor->setConnectionShare({OwnerRole::Standby, 2, 2});
     const RequestId atStandby = write("write", settings::Priority::Urgent);
     fixture.advance(milliseconds(50));
@@ -166,7 +166,7 @@
     STRCMP_EQUAL("57P03", fixture.sqlState(id).c_str());
 }
 
-TEST(ExecutorAdmission, AFormerOwnerFinishesWhatItTookAndThenHoldsNoConnection) {
+TEST(ExecutorAdmission, AFormerOwnerFinishesAcceptedRequestsAndThenHoldsNoConnection) {
     const RequestId begin = fixture.submit("BEGIN", StatementKind::Begin);
     fixture.advance(milliseconds(20));
     const SessionId owner = fixture.session;
--- a/tests/contract/ExecutorKeyTest.cpp
+++ b/tests/contract/ExecutorKeyTest.cpp
@@ -101,7 +101,7 @@
     CHECK_TRUE(backend.lastServerOf(kSelectRequestKey) == kServerB);
 }
 
-TEST(ExecutorKey, UnknownCommitThatNobodyResolvesIsReportedAsUnknown) {
+TEST(ExecutorKey, UnresolvedCommitIsReportedAsUnknown) {
     backend.heldStatements = {kRecordOutcome};
     const RequestId id = fixture.submit(keyed("update"));
     fixture.advance(milliseconds(20));
@@ -136,7 +136,7 @@
     CHECK_EQUAL(1, backend.countExecuted("update"));
 }
 
-TEST(ExecutorKey, FailedStatementTakesTheKeyBack) {
+TEST(ExecutorKey, FailedStatementRollsBackTheKey) {
     fails("update", "23514");
     const RequestId id = fixture.submit(keyed("update"));
     fixture.advance(milliseconds(50));
@@ -167,7 +167,7 @@
     CHECK_EQUAL(0, backend.countExecuted("update"));
 }
 
-TEST(ExecutorKey, ExpiredOnesAreDeletedInBoundedSteps) {
+TEST(ExecutorKey, ExpiredKeysAreDeletedInBoundedBatches) {
     fixture.submit(keyed("update"));
     fixture.advance(seconds(61));
     CHECK_EQUAL(1, backend.countExecuted(kDeleteExpiredRequestKeys));
--- a/tests/contract/ExecutorReadTest.cpp
+++ b/tests/contract/ExecutorReadTest.cpp
@@ -64,7 +64,7 @@
     STRCMP_EQUAL("", fixture.answer(id).bytes.c_str());
 }
 
-TEST(ExecutorRead, OfThePrimaryIsNotServedByOneThatWasReplaced) {
+TEST(ExecutorRead, OfThePrimaryIsNotServedByAFormerPrimary) {
     fixture.service.readRouting = settings::ReadRouting::Primary;
     // The sample shows term 2 on b and c, while a still reports itself as primary.
     fixture.elect(kServerB, 2, {kServerC});
@@ -101,7 +101,7 @@
     CHECK_FALSE(fixture.answer(late).result->servedByReplica);
 }
 
-TEST(ExecutorRead, ThatWasNoReadMovesToThePrimaryAndIsAcknowledged) {
+TEST(ExecutorRead, ThatTurnsOutToBeAWriteMovesToThePrimaryAndIsAcknowledged) {
     CommandOutcome refusal;
     refusal.kind = CommandOutcome::Kind::Failed;
     refusal.sqlState = "25006";
@@ -130,7 +130,7 @@
     STRCMP_EQUAL("[select]", fixture.answer(id).bytes.c_str());
 }
 
-TEST(ExecutorRead, LateAnswerOfAnAbandonedReadReachesNobody) {
+TEST(ExecutorRead, LateResponseOfAnAbandonedReadIsDiscarded) {
     backend.heldStatements = {"select"};
     const RequestId id = read();
     fixture.advance(seconds(11));
--- a/tests/contract/ExecutorTransactionTest.cpp
+++ b/tests/contract/ExecutorTransactionTest.cpp
@@ -122,7 +122,7 @@
     STRCMP_EQUAL("25P02", fixture.sqlState(again).c_str());
 }
 
-TEST(ExecutorTransaction, CommitOfOneLostInSilenceIsAnErrorAndNoSuccess) {
+TEST(ExecutorTransaction, CommitOfATransactionLostWhileIdleIsAnErrorAndNoSuccess) {
     const TransactionId transaction = begin();
     run(transaction, "update", StatementKind::Write);
     backend.loseAll(kServerA);
@@ -132,7 +132,7 @@
     CHECK_FALSE(fixture.answer(commit).result->transaction.has_value());
 }
 
-TEST(ExecutorTransaction, SyncOfAnImplicitOneLostInSilenceIsAnError) {
+TEST(ExecutorTransaction, SyncOfAnImplicitTransactionLostWhileIdleIsAnError) {
     ExecutionRequest first = fixture.request("update", StatementKind::Write);
     first.batch.end = BatchEnd::Flush;
     const RequestId flushed = fixture.submit(std::move(first));
@@ -146,7 +146,7 @@
     STRCMP_EQUAL("08006", fixture.sqlState(synced).c_str());
 }
 
-TEST(ExecutorTransaction, SyncRefusedBeforeItRanRollsTheImplicitOneBack) {
+TEST(ExecutorTransaction, SyncRefusedBeforeItRanRollsBackTheImplicitTransaction) {
     ExecutionRequest first = fixture.request("update", StatementKind::Write);
     first.batch.end = BatchEnd::Flush;
     const RequestId flushed = fixture.submit(std::move(first));
@@ -237,7 +237,7 @@
     CHECK_EQUAL(0, fixture.executor->statistics().requestsInFlight);
 }
 
-TEST(ExecutorTransaction, ImplicitOneSpansBatchesAndCommitsAtSync) {
+TEST(ExecutorTransaction, ImplicitTransactionSpansBatchesAndCommitsAtSync) {
     ExecutionRequest first = fixture.request("update", StatementKind::Write);
     first.batch.end = BatchEnd::Flush;
     const RequestId flushed = fixture.submit(std::move(first));
@@ -255,7 +255,7 @@
     CHECK_EQUAL(0, fixture.executor->statistics().openTransactions);
 }
 
-TEST(ExecutorTransaction, LeavingServerFinishesItButTakesNoOther) {
+TEST(ExecutorTransaction, LeavingServerFinishesOpenTransactionsButAcceptsNoNewOnes) {
     const TransactionId transaction = begin();
     settings::GroupSettings settings = fixture.settings;
     settings.leavingServers = {kServerA};
--- a/tests/contract/ExecutorWriteTest.cpp
+++ b/tests/contract/ExecutorWriteTest.cpp
@@ -71,7 +71,7 @@
     CHECK_EQUAL(0, backend.countExecuted("update"));
 }
 
-TEST(ExecutorWrite, IsSentAgainWhenNoByteHadLeft) {
+TEST(ExecutorWrite, IsSentAgainWhenNoByteWasSent) {
     backend.heldStatements = {"update"};
     const RequestId id = fixture.submit("update", StatementKind::Write);
     backend.loseHeld("update", false);
--- a/tests/contract/PartsTest.cpp
+++ b/tests/contract/PartsTest.cpp
@@ -128,7 +128,7 @@
     }
 };
 
-TEST(AdmissionQueue, OrdinaryIsNotStarvedForEver) {
+TEST(AdmissionQueue, OrdinaryStatementsAreNotStarved) {
     queue.setLimits({1, 1, 100, 4});
     for (std::uint64_t id = 0; id < 20; ++id) {
         queue.push({RequestId(id), AdmissionClass::Urgent});
@@ -139,7 +139,7 @@
     CHECK_EQUAL(4, std::ranges::count(order, AdmissionClass::Urgent));
 }
 
-TEST(AdmissionQueue, StatementsInTransactionsDoNotResetTheTurnOfOrdinary) {
+TEST(AdmissionQueue, StatementsInTransactionsDoNotResetTheUrgentBurst) {
     queue.setLimits({1, 0, 100, 2});
     queue.push({RequestId(100), AdmissionClass::Ordinary});
     std::vector<AdmissionClass> order;
--- a/tests/contract_simulation/ContractSimulationTest.cpp
+++ b/tests/contract_simulation/ContractSimulationTest.cpp
@@ -61,7 +61,7 @@
 
 TEST_GROUP(ContractSimulation){};
 
-TEST(ContractSimulation, KeepsEveryPromiseUnderFaultsAloneAndInPairs) {
+TEST(ContractSimulation, KeepsAllGuaranteesUnderSingleAndPairedFaults) {
     const std::vector<RunOptions> runs = allRuns();
     const std::vector<RunReport> reports = runAll(runs);
     RunReport total;
@@ -87,7 +87,7 @@
 }
 
 /** The election takes 200 to 350 ms; the proxies cause the rest of the gap. */
-TEST(ContractSimulation, WritesGoOnSoonAfterThePrimaryCrashes) {
+TEST(ContractSimulation, WritesResumeSoonAfterThePrimaryCrashes) {
     std::vector<RunOptions> runs;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         RunOptions options;
@@ -118,7 +118,7 @@
     CHECK_EQUAL(runContract(options).events, runContract(options).events);
 }
 
-TEST(ContractSimulation, FindsViolationsWhenServersLieAboutPositions) {
+TEST(ContractSimulation, FindsViolationsWhenServersReportFalsePositions) {
     std::size_t violations = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         RunOptions options;
--- a/tests/router/GroupRouterProperties.cpp
+++ b/tests/router/GroupRouterProperties.cpp
@@ -15,50 +15,59 @@
 using testing::RouterFixture;
 
 /** Outcome of an attempt at an owner. */
-enum class Fate { Succeeds, RefusesAsNotOwner, IsUnreachable, LosesAnswer, Sheds, StaysSilent };
+enum class AttemptOutcome {
+    Succeeds,
+    RefusesAsNotOwner,
+    IsUnreachable,
+    LosesResponse,
+    Sheds,
+    NeverResponds
+};
 
-struct Course {
+struct Scenario {
     StatementKind kind;
     bool hasKey;
     /** Outcomes of the first attempts, one each; all later attempts succeed. */
-    std::vector<Fate> fates;
+    std::vector<AttemptOutcome> outcomes;
 };
 
-rc::Gen<Course> courses() {
-    return rc::gen::build<Course>(
-        rc::gen::set(&Course::kind, rc::gen::element(StatementKind::Read, StatementKind::Write)),
-        rc::gen::set(&Course::hasKey),
-        rc::gen::set(&Course::fates,
-                     rc::gen::container<std::vector<Fate>>(rc::gen::element(
-                         Fate::Succeeds, Fate::RefusesAsNotOwner, Fate::IsUnreachable,
-                         Fate::LosesAnswer, Fate::Sheds, Fate::StaysSilent))));
+rc::Gen<Scenario> scenarios() {
+    return rc::gen::build<Scenario>(
+        rc::gen::set(&Scenario::kind, rc::gen::element(StatementKind::Read, StatementKind::Write)),
+        rc::gen::set(&Scenario::hasKey),
+        rc::gen::set(&Scenario::outcomes,
+                     rc::gen::container<std::vector<AttemptOutcome>>(rc::gen::element(
+                         AttemptOutcome::Succeeds, AttemptOutcome::RefusesAsNotOwner,
+                         AttemptOutcome::IsUnreachable, AttemptOutcome::LosesResponse,
+                         AttemptOutcome::Sheds, AttemptOutcome::NeverResponds))));
 }
 
 /** Runs one scenario and counts the attempts that took effect or may have. */
-class Play {
+class ScenarioRun {
 public:
-    explicit Play(const Course& course) : _course(course) {}
+    explicit ScenarioRun(const Scenario& scenario) : _scenario(scenario) {}
 
     void run() {
         contract::ExecutionRequest request =
-            _fixture.request(1, _course.kind, std::chrono::seconds(10));
-        if (_course.hasKey) {
+            _fixture.request(1, _scenario.kind, std::chrono::seconds(10));
+        if (_scenario.hasKey) {
             request.requestKey = "key";
         }
         _fixture.submit(request);
         const TimePoint end = request.deadline + std::chrono::seconds(1);
         while (!_fixture.sink.isComplete(1) && _fixture.clock.time < end) {
-            if (!answerOne()) {
+            if (!respondToNextAttempt()) {
                 _fixture.advance(std::chrono::milliseconds(100));
             }
         }
         // The executor that has the batch must end it at the deadline.
-        if (!_fixture.sink.isComplete(1) && _silent) {
-            complete(*_silent, isWrite() ? Refusal::OutcomeUnknown : Refusal::StatementTimedOut);
+        if (!_fixture.sink.isComplete(1) && _unanswered) {
+            complete(*_unanswered,
+                     isWrite() ? Refusal::OutcomeUnknown : Refusal::StatementTimedOut);
         }
     }
 
-    bool isWrite() const { return _course.kind == StatementKind::Write; }
+    bool isWrite() const { return _scenario.kind == StatementKind::Write; }
     const testing::RecordingSink::Answer& answer() { return _fixture.sink.answers[1]; }
 
     int effects = 0;
@@ -67,40 +76,41 @@
     using Submission = testing::FakeExecutor::Submission;
 
     /** @return whether there was an attempt without a response, which then got one. */
-    bool answerOne() {
+    bool respondToNextAttempt() {
         for (auto& [node, executor] : _fixture.executors) {
             if (executor.submissions.size() > _answered[node]) {
                 ++_answered[node];
                 const Submission submission = executor.submissions.back();
-                apply(nextFate(), submission);
+                apply(nextOutcome(), submission);
                 return true;
             }
         }
         return false;
     }
 
-    Fate nextFate() {
-        return _attempts < _course.fates.size() ? _course.fates[_attempts++] : Fate::Succeeds;
+    AttemptOutcome nextOutcome() {
+        return _attempts < _scenario.outcomes.size() ? _scenario.outcomes[_attempts++]
+                                                     : AttemptOutcome::Succeeds;
     }
 
-    void apply(Fate fate, const Submission& submission) {
-        _silent.reset();
-        switch (fate) {
-            case Fate::Succeeds:
+    void apply(AttemptOutcome outcome, const Submission& submission) {
+        _unanswered.reset();
+        switch (outcome) {
+            case AttemptOutcome::Succeeds:
                 effects += isWrite() ? 1 : 0;
                 submission.complete();
                 return;
-            case Fate::RefusesAsNotOwner:
+            case AttemptOutcome::RefusesAsNotOwner:
                 return complete(submission, Refusal::NotOwner);
-            case Fate::IsUnreachable:
+            case AttemptOutcome::IsUnreachable:
                 return complete(submission, Refusal::OwnerUnreachable);
-            case Fate::Sheds:
+            case AttemptOutcome::Sheds:
                 return complete(submission, Refusal::QueueFull);
-            case Fate::LosesAnswer:
+            case AttemptOutcome::LosesResponse:
                 return loseAnswer(submission);
-            case Fate::StaysSilent:
+            case AttemptOutcome::NeverResponds:
                 // The router may try another owner; the batch may still run on this one.
-                _silent = submission;
+                _unanswered = submission;
                 effects += isWrite() ? 1 : 0;
                 return;
         }
@@ -118,11 +128,11 @@
         submission.complete(contract::makeFailure(error));
     }
 
-    Course _course;
+    Scenario _scenario;
     RouterFixture _fixture;
     std::map<std::string, std::size_t> _answered;
     std::size_t _attempts = 0;
-    std::optional<Submission> _silent;
+    std::optional<Submission> _unanswered;
 };
 
 TEST_GROUP(GroupRouterProperties){void setup() override{
@@ -132,18 +142,18 @@
 }  // namespace
 };  // namespace coralhoist
 
-TEST(GroupRouterProperties, HoldForAnyCourseOfOneBatch) {
+TEST(GroupRouterProperties, HoldForEveryScenarioOfOneBatch) {
     const bool holds = rc::check("one completion, at most once, not run means not run", [] {
-        const Course course = *courses();
-        Play play(course);
-        play.run();
-        RC_ASSERT(play.answer().completions == 1);
-        const auto& error = play.answer().result.error;
+        const Scenario scenario = *scenarios();
+        ScenarioRun scenarioRun(scenario);
+        scenarioRun.run();
+        RC_ASSERT(scenarioRun.answer().completions == 1);
+        const auto& error = scenarioRun.answer().result.error;
         if (error && error->runState == RunState::NotRun) {
-            RC_ASSERT(play.effects == 0);
+            RC_ASSERT(scenarioRun.effects == 0);
         }
-        if (play.isWrite() && !course.hasKey) {
-            RC_ASSERT(play.effects <= 1);
+        if (scenarioRun.isWrite() && !scenario.hasKey) {
+            RC_ASSERT(scenarioRun.effects <= 1);
         }
     });
     CHECK_TRUE(holds);
--- a/tests/router/GroupRouterTest.cpp
+++ b/tests/router/GroupRouterTest.cpp
@@ -62,7 +62,7 @@
     LONGS_EQUAL(1, submissions("self"));
 }
 
-TEST(GroupRouter, MovesOnWhenAnOwnerSaysItIsNone) {
+TEST(GroupRouter, TriesTheNextOwnerWhenANodeIsNotAnOwner) {
     fixture.submit(fixture.request(1, StatementKind::Write));
     fixture.fail("a", Refusal::NotOwner);
     fixture.last("b").complete();
@@ -83,7 +83,7 @@
     LONGS_EQUAL(0, fixture.router.waitingCount());
 }
 
-TEST(GroupRouter, RefusesAsNotRunAtTheDeadlineWhenNobodyTookTheBatch) {
+TEST(GroupRouter, RefusesAsNotRunAtTheDeadlineWhenNoOwnerAcceptedTheBatch) {
     fixture.unknownNodes = {"a", "b"};
     fixture.submit(fixture.request(1, StatementKind::Write, seconds(2)));
     fixture.advance(milliseconds(1999));
@@ -112,7 +112,7 @@
     LONGS_EQUAL(0, submissions("b"));
 }
 
-TEST(GroupRouter, RepeatsAWriteWithKeyAndNeverCallsItNotRunAfterwards) {
+TEST(GroupRouter, RepeatsAWriteWithKeyAndNeverReportsItAsNotRunAfterwards) {
     contract::ExecutionRequest request = fixture.request(1, StatementKind::Write, seconds(1));
     request.requestKey = "key";
     fixture.submit(request);
@@ -125,7 +125,7 @@
     CHECK_TRUE(fixture.sink.error(1).runState == RunState::Unknown);
 }
 
-TEST(GroupRouter, MovesARepeatableBatchAwayFromASilentOwner) {
+TEST(GroupRouter, MovesARepeatableBatchAwayFromAnUnresponsiveOwner) {
     fixture.submit(fixture.request(1, StatementKind::Read));
     fixture.submit(fixture.request(2, StatementKind::Write));
     fixture.advance(seconds(2));
@@ -137,7 +137,7 @@
     LONGS_EQUAL(0, answer(2).completions);
 }
 
-TEST(GroupRouter, KeepsWaitingForASilentOwnerWhenThereIsNoOther) {
+TEST(GroupRouter, KeepsWaitingForAnUnresponsiveOwnerWhenThereIsNoOther) {
     fixture.ownerList = {NodeName("a")};
     fixture.submit(fixture.request(1, StatementKind::Read));
     fixture.advance(seconds(9));
@@ -145,7 +145,7 @@
     LONGS_EQUAL(0, answer(1).completions);
 }
 
-TEST(GroupRouter, DoesNotRepeatAReadWhoseAnswerTheCallerHasSeenInPart) {
+TEST(GroupRouter, DoesNotRepeatAReadAfterAPartialResponse) {
     fixture.submit(fixture.request(1, StatementKind::Read));
     fixture.last("a").send("row");
     fixture.advance(seconds(5));
@@ -241,7 +241,7 @@
     LONGS_EQUAL(2, submissions("a"));
 }
 
-TEST(GroupRouter, ForgetsAnEndedSession) {
+TEST(GroupRouter, RemovesTheStateOfAnEndedSession) {
     fixture.ownerList.clear();
     fixture.submit(fixture.request(1, StatementKind::Read));
     fixture.router.endSession(SessionId(1));
