--- a/src/contract/ExecutorAcknowledgement.cpp
+++ b/src/contract/ExecutorAcknowledgement.cpp
@@ -56,7 +56,7 @@
     const auto status = outcome != nullptr ? readStatus(*outcome) : std::nullopt;
     context->phase = RequestPhase::WaitingAcknowledgement;
     if (!status || status->inRecovery) {
-        onPrimaryReplaced(context);
+        onCommitUnconfirmed(context);
         return;
     }
     context->commitPoint = {status->term, status->receivedPosition};
@@ -88,7 +88,7 @@
         if (holders >= _sampler.majority()) {
             acknowledge(context);
         } else if (newer >= _sampler.majority()) {
-            onPrimaryReplaced(context);
+            onCommitUnconfirmed(context);
         } else {
             _awaitingAcknowledgement.push_back(id);
         }
@@ -119,7 +119,7 @@
  * Handles a commit that can't be confirmed in its term. If the request has a key, the key is looked
  * up on the new primary and shows whether the commit took effect.
  */
-void ExecutorCore::onPrimaryReplaced(const RequestPointer& context) {
+void ExecutorCore::onCommitUnconfirmed(const RequestPointer& context) {
     const bool resolvable =
         context->isKeyed() && !context->result.transaction && !context->outbox.hasReleased();
     if (!resolvable) {
--- a/src/contract/ExecutorCore.h
+++ b/src/contract/ExecutorCore.h
@@ -159,7 +159,7 @@
     void awaitAcknowledgement(const RequestPointer& context);
     void resolveAcknowledgements();
     void acknowledge(const RequestPointer& context);
-    void onPrimaryReplaced(const RequestPointer& context);
+    void onCommitUnconfirmed(const RequestPointer& context);
     void retryGuard(const RequestPointer& context);
     bool tryRetry();
     void restart(const RequestPointer& context);
