--- a/src/contract/ExecutorConnections.cpp
+++ b/src/contract/ExecutorConnections.cpp
@@ -238,7 +238,7 @@
 
 /**
  * Rolls back an idle transaction and leaves its tombstone.
- * @param untold the reason to report with the session's next statement, when no request is in
+ * @param unreported the reason to report with the session's next statement, when no request is in
  * progress that could report it.
  */
 void ExecutorCore::abortTransaction(Transaction& transaction, bool close,
--- a/src/contract/ExecutorKeys.cpp
+++ b/src/contract/ExecutorKeys.cpp
@@ -80,8 +80,8 @@
 }
 
 /**
- * Handles a failed insert of the key. The causes are a repeated request, a missing key table, or a
- * server that is not the primary.
+ * Handles a failed insert of the key, e.g. because the request is a repeat, the key table is
+ * missing, or the server is not the primary.
  */
 void ExecutorCore::onKeyClaimRefused(const RequestPointer& context, const CommandOutcome& outcome) {
     const std::string sqlState = outcome.sqlState;
