--- a/src/contract/BackendConnector.h
+++ b/src/contract/BackendConnector.h
@@ -26,7 +26,7 @@
 struct BackendCommand {
     StatementStep step;
     ResultUse use = ResultUse::Discard;
-    /** A synchronization point follows; an error skips only the commands up to this point. */
+    /** A synchronisation point follows; an error skips only the commands up to this point. */
     bool syncAfter = false;
 };
 
--- a/src/contract/Execution.h
+++ b/src/contract/Execution.h
@@ -42,7 +42,7 @@
      * sample.
      */
     std::optional<OpTime> floor;
-    /** Deduplicates the write or the transaction; see RequestKeyProtocol. */
+    /** Deduplicates the write or the transaction; see ExecutorKeys.cpp. */
     std::optional<std::string> requestKey;
     /**
      * Set inside an open explicit transaction or an unfinished implicit one; pins the connection.
--- a/src/contract/ExecutorRouting.cpp
+++ b/src/contract/ExecutorRouting.cpp
@@ -314,7 +314,7 @@
         builder.addParameters(request.sessionParameters);
     }
     if (context->opensImplicitTransaction()) {
-        // Each program ends with a synchronization point on the back end, so an explicit
+        // Each program ends with a synchronisation point on the back end, so an explicit
         // transaction is needed to span several programs.
         builder.addStatement(CommandRole::ImplicitBegin, "BEGIN", ResultUse::Discard, false);
     }
--- a/src/contract/Refusals.h
+++ b/src/contract/Refusals.h
@@ -1,4 +1,4 @@
-/** Catalog of all errors that the proxy itself returns to callers. */
+/** Catalogue of all errors that the proxy itself returns to callers. */
 #pragma once
 
 #include <string>
--- a/src/contract/Statement.h
+++ b/src/contract/Statement.h
@@ -1,5 +1,5 @@
 /**
- * A batch of steps up to a synchronization point, as submitted by a caller.
+ * A batch of steps up to a synchronisation point, as submitted by a caller.
  *
  * A batch is the unit of execution. It comes from one simple Query message (split into its
  * statements) or from the extended-protocol messages up to Sync or Flush. The steps of one batch
