--- a/src/contract/ExecutorTimers.cpp
+++ b/src/contract/ExecutorTimers.cpp
@@ -94,8 +94,9 @@
             context->plan.commits || (transaction.implicit && !context->plan.flush);
         if (context->phase == RequestPhase::WaitingAcknowledgement ||
             (context->phase == RequestPhase::Running && mayCommit)) {
-            // The deadline of the request bounds a commit; it must not be cut here.
-            transaction.totalDeadline = context->request.deadline + _knobs.abandonedProgramPatience;
+            // A commit is bounded by the deadline of its request; the transaction's total time must
+            // not cut it short.
+            transaction.totalDeadline = context->request.deadline + _knobs.abandonedProgramTimeout;
             continue;
         }
         if (context->phase == RequestPhase::Running) {
@@ -147,7 +148,7 @@
     }
     for (const FloorWait& wait : _floorWaits) {
         if (wait.majorityAt) {
-            consider(*wait.majorityAt + _knobs.sampleGrace);
+            consider(*wait.majorityAt + _knobs.sampleGracePeriod);
         }
     }
     for (const auto& [connection, user] : _users) {
--- a/tests/contract/ExecutorAdmissionTest.cpp
+++ b/tests/contract/ExecutorAdmissionTest.cpp
@@ -1,4 +1,4 @@
-/** Slots, queues and connections under pressure. */
+/** Slots, queues and connections under load. */
 #include <CppUTest/TestHarness.h>
 
 #include "FakeBackend.h"
@@ -46,7 +46,8 @@
 
 TEST(ExecutorAdmission, ReadsOverflowFromCrowdedReplicasOnlyIntoFreeSlotsOfThePrimary) {
     backend.heldStatements = {"search"};
-    // One slot a server is left to ordinary statements, and a queue is crowded from four on.
+    // One slot per server is reserved for ordinary statements, and a queue counts as crowded from
+    // four statements on.
     constexpr int kReplicasTake = 2 * (1 + 4);
     for (int count = 0; count < kReplicasTake; ++count) {
         read("search");
@@ -60,7 +61,7 @@
     CHECK_EQUAL(kReplicasTake - 2 + 1, fixture.executor->statistics().ordinaryQueued);
 }
 
-TEST(ExecutorAdmission, AStandbyExecutesWhatReachesItAndANodeWithoutRoleNothing) {
+TEST(ExecutorAdmission, AStandbyExecutesForwardedRequestsAndANodeWithoutRoleNone) {
     fixture.executor->setConnectionShare({OwnerRole::Standby, 2, 2});
     const RequestId atStandby = write("write", settings::Priority::Urgent);
     fixture.advance(milliseconds(50));
@@ -165,7 +166,7 @@
     STRCMP_EQUAL("57P03", fixture.sqlState(id).c_str());
 }
 
-TEST(ExecutorAdmission, AFormerOwnerFinishesWhatItTookAndThenHoldsNoConnection) {
+TEST(ExecutorAdmission, AFormerOwnerFinishesAcceptedRequestsAndThenHoldsNoConnection) {
     const RequestId begin = fixture.submit("BEGIN", StatementKind::Begin);
     fixture.advance(milliseconds(20));
     const SessionId owner = fixture.session;
