--- a/src/tenancy/HeldQuestions.cpp
+++ b/src/tenancy/HeldQuestions.cpp
@@ -7,10 +7,12 @@
 
 using std::chrono::milliseconds;
 
-/** A question waits this long at most for a copy, for the store or for the record. */
+/** Longest time for which a request is queued for replication to the standby, for the store or for
+ * the record. */
 constexpr Duration kHeldFor = milliseconds(250);
 constexpr std::size_t kMostHeld = 512;
-/** When to ask again after that. */
+/** Retry delay that a request gets when it is declined because the queue is full or its timeout has
+ * passed. */
 constexpr Duration kRetryAfterHeld = milliseconds(200);
 
 }  // namespace
--- a/src/tenancy/HeldQuestions.h
+++ b/src/tenancy/HeldQuestions.h
@@ -1,4 +1,5 @@
-/** Questions for units that wait for a copy, for the store, or to learn who leads. */
+/** Queue of quota requests that wait for replication to the standby, for the store, or until the
+ * shard's leader is known. */
 #pragma once
 
 #include <cstddef>
@@ -9,38 +10,40 @@
 
 namespace coralhoist::tenancy {
 
-/** @return an answer without units. */
+/** @return a response that declines the request and grants no units. */
 QuotaAnswer declinedAnswer(Duration retryAfter);
 
-/** A question that waits for an answer. */
+/** A queued request and the callback for its response. */
 struct HeldQuestion {
     QuotaQuestion question;
     QuotaReply reply;
     TimePoint since{};
 
-    /** @return whether it has waited for as long as it may. */
+    /** @return whether the request has reached its queueing timeout. */
     bool isOverdue(TimePoint now) const;
 };
 
-/** Bounded in number and time: what does not fit or waits for too long is declined. */
+/** A queue that is bounded in length and in waiting time. Requests that don't fit or wait for too
+ * long are declined. */
 class HeldQuestions {
 public:
-    /** @param declined counts what is declined; outlives the questions. */
+    /** @param declined counter of declined requests; must outlive the queue. */
     explicit HeldQuestions(std::uint64_t& declined) : _declined(declined) {}
 
-    /** Holds the question, or declines it. */
+    /** Queues the request, or declines it when the queue is full. */
     void hold(HeldQuestion held);
     void decline(const HeldQuestion& held, Duration retryAfter);
     void declineOverdue(TimePoint now);
 
-    /** @return all questions, which are held no longer. A reply may bring the next question, so
-     * they are taken before any is answered. */
+    /** Removes and returns all queued requests. A reply callback may submit the next request at
+     * once, so the requests are removed before any of them is answered. */
     std::deque<HeldQuestion> takeAll();
 
     const std::deque<HeldQuestion>& all() const { return _questions; }
     bool empty() const { return _questions.empty(); }
 
-    /** @return when the first of them is to be declined; far away while there is none. */
+    /** @return when the oldest request reaches its timeout; `TimePoint::max()` for an empty queue.
+     */
     TimePoint dueAt() const;
 
 private:
--- a/src/tenancy/LedgerCopy.cpp
+++ b/src/tenancy/LedgerCopy.cpp
@@ -3,7 +3,8 @@
 namespace coralhoist::tenancy {
 namespace {
 
-/** An offer of the lead counts for so long; it is repeated every 0.5 s while it stands. */
+/** Time for which an offer of leadership is valid. The leader repeats a standing offer every 0.5 s.
+ */
 constexpr Duration kOfferCounts = std::chrono::seconds(1);
 
 }  // namespace
@@ -12,7 +13,7 @@
     if (_sealed) {
         return false;
     }
-    // A message of an older copy may still arrive, over a link that was lost.
+    // A message of an older copy may still arrive over a link that has since been lost.
     const bool isNewer = !isOf(update.leaderLife) || update.copy > _copy;
     if (update.whole && isNewer) {
         _leaderLife = update.leaderLife;
--- a/src/tenancy/LedgerCopy.h
+++ b/src/tenancy/LedgerCopy.h
@@ -1,4 +1,4 @@
-/** A standby's copy of the ledgers of a shard's leader. */
+/** A standby's replica of the ledgers of a shard's leader. */
 #pragma once
 
 #include <cstdint>
@@ -11,37 +11,37 @@
 
 namespace coralhoist::tenancy {
 
-/**
- * Takes a leader's updates until it is sealed. It learns no settlements, so more counts in it than
- * in the original, never less.
- */
+/** Applies a leader's updates until the copy is sealed. Settlements are not replicated, so the copy
+ * may count more units than the original ledgers, but never fewer. */
 class LedgerCopy {
 public:
-    /** @return the window of a tenant's ledger. */
+    /** Returns the window of a tenant's ledger. */
     using WindowOf = std::function<Duration(const TenantName&)>;
 
-    /** @return whether the copy holds the update's batches now, and those of all before it. */
+    /** @return whether the copy now holds the batches of this update and of all updates before it.
+     */
     bool take(const LedgerUpdate& update, const WindowOf& windowOf, TimePoint now);
 
-    /** From now on no batch of this copy is acknowledged, so that it lacks none that was answered.
-     */
+    /** Stops acknowledging updates. The leader confirms no batch to a requesting node without the
+     * acknowledgement, so the copy holds every batch that was confirmed. */
     void seal() { _sealed = true; }
 
-    /** Forgets the copy; another may begin. */
+    /** Discards the copy, so that a new one may begin. */
     void drop() { *this = LedgerCopy(); }
 
-    /** @return whether it holds all batches that this life of a leader ever answered. */
+    /** @return whether the copy holds all batches that this incarnation of a leader has ever sent
+     * in a response. */
     bool isOf(const std::string& leaderLife) const {
         return !leaderLife.empty() && _leaderLife == leaderLife;
     }
 
-    /** @return whether the leader has stopped as planned. */
+    /** @return whether the leader has shut down as planned. */
     bool isReleased() const { return _released; }
 
-    /** @return whether the leader wants the standby to lead. */
+    /** @return whether the leader wants the standby to take over. */
     bool isOffered(TimePoint now) const { return _released || now < _offeredUntil; }
 
-    /** @return when the leader was heard last. */
+    /** @return when the last update of the leader was accepted. */
     TimePoint heardAt() const { return _heardAt; }
     bool isSealed() const { return _sealed; }
 
@@ -50,7 +50,7 @@
 private:
     std::string _leaderLife;
     std::uint64_t _copy = 0;
-    /** Of the newest update. */
+    /** Sequence number of the newest accepted update. */
     std::uint64_t _sequence = 0;
     bool _sealed = false;
     bool _released = false;
--- a/src/tenancy/QuotaLedger.cpp
+++ b/src/tenancy/QuotaLedger.cpp
@@ -31,7 +31,8 @@
     if (found == _batches.end()) {
         return 0;
     }
-    // The message took its time, so the last use was before this.
+    // The age was measured when the message was sent. Its transit time makes the last use earlier
+    // than this estimate, so the estimate is safe.
     const TimePoint lastUse = std::min(found->second.usableUntil, now - settlement.lastUseAge);
     const std::uint32_t granted = found->second.units;
     const std::uint32_t used = std::min(granted, settlement.used);
@@ -66,7 +67,7 @@
 }
 
 void QuotaLedger::inherit(const RecordedQuota& quota, TimePoint writtenBy, TimePoint stoppedBy) {
-    // No question settles a batch of term 0.
+    // Inherited units get term 0, because no request settles a batch of term 0.
     std::uint64_t number = 0;
     for (std::size_t index = 0; index < quota.counting.size(); ++index) {
         const TimePoint countsUntil = writtenBy + kCountingStep * (index + 1);
--- a/src/tenancy/QuotaLedger.h
+++ b/src/tenancy/QuotaLedger.h
@@ -1,4 +1,4 @@
-/** What was granted of one tenant's quota and may still count. */
+/** Ledger of the units that were granted from one tenant's quota and may still count against it. */
 #pragma once
 
 #include <cstdint>
@@ -14,44 +14,47 @@
 namespace coralhoist::tenancy {
 
 /**
- * Remembers grants instead of a balance. A batch counts until a window after its units may last
- * have run; nothing is ever added back, a batch only becomes smaller or ends earlier when the node
- * that has it settles it.
+ * Records grants instead of a balance. A batch counts until one window after the last moment at
+ * which its units may have run. Units are never added back: a batch only shrinks or ends earlier
+ * when the node that holds it settles it.
  *
- * Invariant: units that were granted by any moment and run in a window that holds this moment are
- * counted then. So whoever grants only while the count stays within the bound keeps it in every
- * window, whenever units are used or settlements come.
+ * Invariant: at any moment, the count includes all units that were granted by then and that run in
+ * some window which contains this moment. A node that grants only while the count stays within the
+ * bound therefore keeps to the bound in every window, whenever units are used or settlements
+ * arrive.
  */
 class QuotaLedger {
 public:
     explicit QuotaLedger(Duration window) : _window(window) {}
 
-    /** @return units that ran in the window that ends now or may still run. */
+    /** @return units that may have run in the window that ends now or may still run. */
     std::uint32_t counted(TimePoint now);
 
-    /** @param usableUntil no unit of the batch runs later. */
+    /** @param usableUntil no unit of the batch runs after this time. */
     void add(const BatchId& batch, std::uint32_t units, TimePoint usableUntil);
 
     /**
-     * Takes a node's word for one of its batches; of an unknown one nothing is left to count.
+     * Reduces a batch to the units that its holder reports as used. An unknown batch no longer
+     * counts, so its settlement has no effect.
      * @return units that did not run.
      */
     std::uint32_t settle(const BatchSettlement& settlement, TimePoint now);
 
-    /** @return after which time so many units fewer count. */
+    /** @return the time after which the count has dropped by the given number of units. */
     Duration untilFreed(std::uint32_t units, TimePoint now) const;
 
-    /** @return what counts now, for the shard's record; without an allowance. */
+    /** @return the units that count now, in the form of the shard's record and without an
+     * allowance. */
     RecordedQuota recorded(TimePoint now);
 
     /**
-     * Counts what another leader recorded.
-     * @param writtenBy the record was not written later.
-     * @param stoppedBy that leader granted nothing later.
+     * Adds the units that another leader recorded.
+     * @param writtenBy the record was written at this time or earlier.
+     * @param stoppedBy that leader granted nothing after this time.
      */
     void inherit(const RecordedQuota& quota, TimePoint writtenBy, TimePoint stoppedBy);
 
-    /** Adds all batches to the list, as of now. */
+    /** Appends all batches to the list, with their remaining times as of now. */
     void copyTo(std::vector<CopiedBatch>& list, const TenantName& tenant, TimePoint now);
 
 private:
@@ -64,12 +67,12 @@
 
     Duration _window;
     std::map<BatchId, Batch> _batches;
-    /** Batches by the time until which they are usable. */
+    /** Batches ordered by the time until which they are usable. */
     std::set<std::pair<TimePoint, BatchId>> _ends;
     std::uint32_t _units = 0;
 };
 
-/** The ledgers of one shard's tenants. */
+/** Ledgers of one shard's tenants. */
 using ShardLedgers = std::map<TenantName, QuotaLedger>;
 
 }  // namespace coralhoist::tenancy
--- a/src/tenancy/QuotaMessages.h
+++ b/src/tenancy/QuotaMessages.h
@@ -1,4 +1,4 @@
-/** What nodes tell each other of tenants' quotas, and the interfaces that carry it. */
+/** Messages that nodes exchange about tenants' quotas, and the interfaces that carry them. */
 #pragma once
 
 #include <cstdint>
@@ -13,9 +13,9 @@
 
 namespace coralhoist::tenancy {
 
-/** Names the units of one grant. */
+/** Identifies the units of one grant. */
 struct BatchId {
-    /** Version of the shard's record under which the granting leader began to lead. */
+    /** Version of the shard's record under which the granting node became leader. */
     std::uint64_t term = 0;
     std::uint64_t number = 0;
 
@@ -25,118 +25,128 @@
     }
 };
 
-/** What became of a batch of which nothing will run any more. Final, and so told again at will. */
+/** Final usage of a batch of which no more units will run. A settlement never changes, so it may be
+ * sent repeatedly. */
 struct BatchSettlement {
     BatchId batch;
     /** Units that ran. */
     std::uint32_t used = 0;
-    /** Time since the last of them began, when this was sent. */
+    /** Age of the last use when the settlement was sent, measured from the start of the last unit
+     * that ran. */
     Duration lastUseAge{0};
 
     bool operator==(const BatchSettlement&) const = default;
 };
 
-/** Asks the leader of a tenant's shard for units that the asking node may run. */
+/** Asks the leader of a tenant's shard for units that the requesting node may run. */
 struct QuotaQuestion {
     TenantName tenant;
-    /** Units wanted; 0 only settles batches. */
+    /** Requested units. A request for 0 units only settles batches. */
     std::uint32_t wanted = 0;
-    /** The asking node uses no unit later than this after it sent the question. */
+    /** The requesting node uses no unit later than this time after it sent the request. */
     Duration usableFor{0};
-    /** Nodes that handed the question on. */
+    /** Number of nodes that forwarded the request. */
     std::uint32_t hops = 0;
-    /** The leader did not answer it: a standby that does not hear from it either may lead. */
+    /** The leader did not respond to the request. A standby that receives no updates from the
+     * leader either may take over. */
     bool leaderSilent = false;
     std::vector<BatchSettlement> settled;
-    /** The units wanted by rank, from 0 on; empty where ranks don't matter. Three parts, each with
-     * an entry for every rank that there may be: units that may wait for a turn, units whose turn
-     * has come, and units that are of no use later. */
+    /** Requested units by rank, starting at rank 0; empty where ranks don't matter. The list has
+     * three parts, each with an entry for every possible rank: units that may be deferred to a
+     * later time slot, units whose time slot has come, and units that are of no use later. */
     std::vector<std::uint32_t> wantedByRank = {};
 
     bool operator==(const QuotaQuestion&) const = default;
 };
 
-/** Answer to a question. */
+/** Response to a quota request. */
 struct QuotaAnswer {
-    /** Nothing was granted: no leader could be asked, or it can't be sure that it leads. */
+    /** Nothing was granted, because no leader could be reached or the leader can't be sure that it
+     * still leads. */
     bool declined = false;
     BatchId batch;
     std::uint32_t granted = 0;
-    /** When the rest could be granted, or when to ask again. */
+    /** Time after which the rest could be granted, or after which to retry. */
     Duration retryAfter{0};
-    /** The tenant uses most of what it may. */
+    /** The tenant uses most of its quota. */
     bool scarce = false;
-    /** The leader that granted, and its standby; empty when declined or there is none. */
+    /** The leader that granted the units, and its standby. Both are empty in a declined response,
+     * and the standby is empty when there is none. */
     NodeName leader;
     NodeName standby;
-    /** The units granted by rank, from 0 on; empty where the question named none. */
+    /** Granted units by rank, starting at rank 0; empty where the request named no ranks. */
     std::vector<std::uint32_t> grantedByRank = {};
 
     bool operator==(const QuotaAnswer&) const = default;
 };
 
-/** Takes the answer to a question; called once, at once or later. */
+/** Receives the response to a request. Called exactly once, either synchronously or later. */
 using QuotaReply = std::function<void(const QuotaAnswer&)>;
 
-/** A batch as a standby keeps it. */
+/** A batch as replicated to a standby. */
 struct CopiedBatch {
     TenantName tenant;
     BatchId batch;
     std::uint32_t units = 0;
-    /** Longest time for which its units may still be used, when this was sent; below 0 when they
-     * only count. */
+    /** Longest time for which the batch's units may still be used, measured when the message was
+     * sent. A negative value means that the units can't be used any more but still count against
+     * the quota. */
     Duration usableFor{0};
 
     bool operator==(const CopiedBatch&) const = default;
 };
 
-/** Keeps a standby's copy of a leader's ledgers up to date. */
+/** Replicates changes of a leader's ledgers to its standby. */
 struct LedgerUpdate {
     std::uint32_t shard = 0;
-    /** Life of the leader, and which of its copies this is. */
+    /** Incarnation of the leader, and the number of the copy among the copies that this incarnation
+     * has begun. */
     std::string leaderLife;
     std::uint64_t copy = 0;
-    /** Counts the updates of a copy from 1 on: none may lack. */
+    /** Number of the update within its copy, starting at 1. The standby accepts no update after a
+     * gap. */
     std::uint64_t sequence = 0;
-    /** The batches are all that count; the copy begins anew. */
+    /** The update lists all counted batches and starts a new copy. */
     bool whole = false;
-    /** The leader grants no more: the standby may lead. */
+    /** The leader has stopped granting, so the standby may take over. */
     bool released = false;
-    /** The leader can't write the record: the standby may lead if it can. */
+    /** The leader can't write the record, so the standby may take over if it can write the record.
+     */
     bool offered = false;
     std::vector<CopiedBatch> batches;
 
     bool operator==(const LedgerUpdate&) const = default;
 };
 
-/** Answer to an update. */
+/** Response to a ledger update. */
 struct LedgerAck {
-    /** The batches are part of the copy now. */
+    /** The standby has added the batches to its copy. */
     bool accepted = false;
-    /** Life of the standby. */
+    /** Incarnation of the standby. */
     std::string life;
 
     bool operator==(const LedgerAck&) const = default;
 };
 
-/** Asks other nodes. No call delivers an answer before it returns. */
+/** Sends requests to other nodes. No call delivers a response before the call returns. */
 class QuotaQuestions {
 public:
     virtual ~QuotaQuestions() = default;
 
-    /** @return whether the node seems to answer now. */
+    /** @return whether the node appears to be reachable. */
     virtual bool canReach(const NodeName& node) const = 0;
 
-    /** One onQuotaAnswer follows, without an answer when the link is lost. */
+    /** Exactly one onQuotaAnswer call follows. It carries no response when the link is lost. */
     virtual void askForQuota(const NodeName& node, std::uint64_t question,
                              const QuotaQuestion& asked) = 0;
 
-    /** One onLedgerAck follows, without one when the link is lost. Updates arrive in order. */
+    /** Exactly one onLedgerAck call follows. It carries no acknowledgement when the link is lost.
+     * Updates arrive in order. */
     virtual void updateLedger(const NodeName& node, std::uint64_t question,
                               const LedgerUpdate& update) = 0;
 };
 
-/** Answers other nodes. */
+/** Sends responses to other nodes. */
 class QuotaAnswers {
 public:
     virtual ~QuotaAnswers() = default;
@@ -145,7 +155,7 @@
     virtual void acknowledgeLedger(std::uint64_t asker, const LedgerAck& ack) = 0;
 };
 
-/** Receives questions and answers of other nodes. */
+/** Receives requests and responses from other nodes. */
 class QuotaEvents {
 public:
     virtual ~QuotaEvents() = default;
--- a/src/tenancy/QuotaShard.cpp
+++ b/src/tenancy/QuotaShard.cpp
@@ -10,17 +10,19 @@
 
 using std::chrono::milliseconds;
 
-/** What was read of the record serves so long for deciding who may lead. */
+/** Time for which a read of the record is recent enough to decide who may lead. */
 constexpr Duration kReadAgainAfter = milliseconds(300);
-/** Pause after a call of the store that failed, and between readings that changed nothing. */
+/** Delay after a failed store call, and between reads that changed nothing. */
 constexpr Duration kRetryPause = milliseconds(200);
-/** A standby that has had no update for so long while questions came to it for want of an answer
- * leads: each grant is an update. A wrong guess costs two calls of the store. */
+/** A standby takes over when it has had no update for this time while requests reached it because
+ * the leader did not respond. Each grant is an update. A wrong takeover costs two store calls. */
 constexpr Duration kLeaderSilence = milliseconds(150);
-/** A leader that declined a question may have lost its lease: it can't reach the store. */
+/** Time for which a declined request is evidence that the leader may have lost its lease because it
+ * can't reach the store. */
 constexpr Duration kDeclinedCounts = std::chrono::seconds(1);
 constexpr Duration kLongestRetry = std::chrono::seconds(1);
-/** Questions that only find out who grants are handed on so often: many nodes ask them at once. */
+/** Shortest interval between forwarded probes, which only find out which node grants units. Many
+ * nodes send probes at the same time. */
 constexpr Duration kProbeEvery = milliseconds(200);
 
 }  // namespace
@@ -50,7 +52,7 @@
     return life.exists() && life.node != _context.self.node && _context.calls.canReach(life.node);
 }
 
-/** @return the node to which a question is handed on, by what is known. */
+/** @return the node to which a request is forwarded, according to the known record. */
 std::optional<NodeName> QuotaShard::relayTarget() const {
     if (!_known) {
         return std::nullopt;
@@ -64,7 +66,8 @@
     return reachableDeputy();
 }
 
-/** @return whether neither the asking node nor this one, the standby, hears from the leader. */
+/** @return whether the requesting node gets no response from the leader and this node, its standby,
+ * gets no updates from it. */
 bool QuotaShard::isSilentToStandby(const HeldQuestion& held, TimePoint now) const {
     return held.question.leaderSilent && _known && _copy.isOf(_known->record().leader.life) &&
            now - _copy.heardAt() >= kLeaderSilence;
@@ -82,7 +85,8 @@
     seek(now);
 }
 
-/** An answer that declines shows that the record has changed, or that the node can't tell. */
+/** Forwards the request. A declined response shows that the record has changed or that the node
+ * can't determine who leads. */
 void QuotaShard::relay(const NodeName& node, HeldQuestion held) {
     ++_context.statistics.relayed;
     QuotaQuestion question = held.question;
@@ -91,7 +95,8 @@
     const NodeLife& standby = _known->record().standby;
     const bool isProbe = question.wanted == 0;
     if ((isProbe || question.leaderSilent) && node != standby.node && canReach(standby)) {
-        // If it is out of reach too, that shows at the same time.
+        // Probing the standby in parallel finds out without further delay whether it is unreachable
+        // too.
         probe(standby.node, question, [](const QuotaAnswer& /*answer*/) {});
     }
     _context.calls.ask(node, question,
@@ -120,7 +125,7 @@
                        });
 }
 
-/** What is known of the record is not enough for the next decision. */
+/** Requires a new read of the record before the next decision. */
 void QuotaShard::mustReadAgain(TimePoint now) {
     if (_known) {
         _known->loadedAt = std::min(_known->loadedAt, now - kReadAgainAfter);
@@ -137,7 +142,7 @@
     }
 }
 
-/** Questions that waited for the record go to whom it names. */
+/** Passes queued requests to the node that the record names. */
 void QuotaShard::handOnHeld() {
     const std::optional<NodeName> target = relayTarget();
     if (!target && waitsToBeDeputy()) {
@@ -157,7 +162,7 @@
     }
 }
 
-/** Finds out who leads, or leads. */
+/** Finds out which node leads, or takes over leadership. */
 void QuotaShard::seek(TimePoint now) {
     if (_calling || leads() || now < _notBefore) {
         return;
@@ -196,7 +201,7 @@
     const bool isReplaced =
         loaded.record.version != _claimedUnder && loaded.record.leader != _context.self;
     if (isReplaced || isOtherEra) {
-        // Another writing was done in the claim's place, or the store has lost it.
+        // Another write was applied in place of the claim, or the store has lost the claim.
         _claimPending = false;
     }
     noteReach(now);
@@ -208,19 +213,19 @@
     decide(now);
 }
 
-/** @return whether the record was read since the store returned last. */
+/** @return whether the record was read after the store was last restored from an older copy. */
 bool QuotaShard::isOfPresentEra() const {
     return _known->record().version.era == _context.era.current();
 }
 
-/** @return whether no later writing of the record can have been lost. */
+/** @return whether the store can't have lost a later write of the record. */
 bool QuotaShard::isWrittenInPresentEra() const {
     const QuotaShardRecord& record = _known->record();
     return record.version.exists() ? record.writtenIn == _context.era.current()
                                    : !_context.era.hasReturned();
 }
 
-/** A record of an earlier era may name a standby that a lost writing has left behind. */
+/** A record of an earlier era may name a standby that a lost write has since removed. */
 bool QuotaShard::mayLeadWithCopy(TimePoint now) const {
     if (!isWrittenInPresentEra()) {
         return false;
@@ -239,21 +244,21 @@
     }
     const QuotaShardRecord& record = _known->record();
     const bool isFree = !record.leader.exists();
-    // A standby to which this node has handed over leads with a copy.
+    // A standby to which this node has handed over takes over with its copy.
     const bool hasHandedOver = record.leader == _context.self && canReach(record.standby);
     const bool wasSelf = record.leader.node == _context.self.node && !hasHandedOver;
-    // The lease of whoever wrote this version has ended, if nobody writes another one meanwhile;
-    // the claim fails then.
+    // The lease of the leader that wrote this version has expired unless a newer version has been
+    // written in the meantime, and then the claim fails.
     const bool isSilent = !canReach(record.leader) || now - _leaderDeclinedAt < kDeclinedCounts;
     const bool hasLapsed = isSilent && now - _known->parts.leaderSeenAt() >= kShardLeaseOfOthers;
     return isFree || wasSelf || hasLapsed;
 }
 
-/** The record was read a moment ago. */
+/** Decides which node leads. The known record must have been read recently. */
 void QuotaShard::decide(TimePoint now) {
     const bool isOwnClaim = _known->record().leader == _context.self && isWrittenInPresentEra();
     if (isOwnClaim && _claimPending) {
-        // The claim was done. It grants once it has renewed the record.
+        // The claim was written. This node grants once it has renewed the record.
         lead(_known->record(), now);
     } else if (!_released && mayLeadWithCopy(now)) {
         _copy.seal();
@@ -268,10 +273,11 @@
     handOnHeld();
 }
 
-/** @return ledgers that count all that the former leader may have granted. */
+/** @return ledgers that count all units that the former leader may have granted. */
 ShardLedgers QuotaShard::inheritedLedgers(TimePoint now) const {
-    // A former life of this node stopped before this one began. Others wrote the record before it
-    // was read first, and have stopped by now, also where this life handed over and nobody leads.
+    // A previous incarnation of this node stopped before this one began. Other leaders wrote the
+    // record before it was first read and have stopped by now; this also holds where this
+    // incarnation handed over and no node leads.
     const NodeLife& leader = _known->record().leader;
     const bool wasFormerLife = leader.node == _context.self.node && leader != _context.self;
     const TimePoint writtenBy = wasFormerLife
--- a/src/tenancy/QuotaShard.h
+++ b/src/tenancy/QuotaShard.h
@@ -1,5 +1,5 @@
-/** One node's part in one shard of tenants: leader, standby, deputy, or whoever finds the leader.
- */
+/** One node's role in one shard of tenants: leader, standby, deputy, or a node that forwards
+ * requests to the leader. */
 #pragma once
 
 #include <cstdint>
@@ -15,26 +15,28 @@
 namespace coralhoist::tenancy {
 
 /**
- * Answers questions for units of the shard's tenants: by itself while it leads, else by handing
- * them to the leader or its standby. Begins to lead where the record names nobody, a former life of
- * this node, or a leader that can't be reached: as its standby at once, else after its lease. Until
- * then it is a deputy where neither leader nor standby can be reached, but the store is.
+ * Handles requests for units of the shard's tenants: by itself while this node leads, otherwise by
+ * forwarding them to the leader or its standby. The node takes over leadership where the record
+ * names no leader, a previous incarnation of this node, or a leader that can't be reached: at once
+ * if this node is the leader's standby, otherwise after the leader's lease. Until then it is a
+ * deputy where neither leader nor standby can be reached but the store can.
  *
- * Invariant: at most one node leads at a time, and the ledger with which one begins counts
- * whatever its predecessors may have granted; deputies grant within parts of the record that the
- * leader leaves them (`RecordParts`). Nothing of it rests on a node's list, on links or on
- * silence, but on writing the record under the version that was read.
+ * Invariant: at most one node leads at a time, and the ledger with which a leader begins counts all
+ * units that its predecessors may have granted; deputies grant within parts of the record that the
+ * leader leaves them (`RecordParts`). The invariant does not depend on a node's list of peers, on
+ * connections or on missing responses, but only on writing the record conditionally on the version
+ * that was read.
  *
- * A store that has returned older may have lost claims, hand-overs and parts whose holders grant
- * on. Until nothing of theirs counts any more, nobody but the present leader, or its standby in its
- * place, leads, and nobody becomes a deputy (`mayLackGrants`).
+ * A store that was restored from an older copy may have lost claims, hand-overs and parts whose
+ * holders continue to grant. Until none of their units counts any more, only the present leader, or
+ * its standby in its place, may lead, and no node becomes a deputy (`mayLackGrants`).
  */
 class QuotaShard {
 public:
     explicit QuotaShard(ShardContext context)
         : _context(std::move(context)), _held(_context.statistics.declined) {}
 
-    /** @param reply called once, now or later. */
+    /** @param reply called once, synchronously or later. */
     void ask(const QuotaQuestion& question, QuotaReply reply);
 
     LedgerAck takeUpdate(const LedgerUpdate& update);
@@ -42,19 +44,19 @@
     void onTick(TimePoint now);
     TimePoint nextTick() const;
 
-    /** A planned stop: grants no more and leads no more. */
+    /** Handles a planned shutdown: stops granting and gives up leadership. */
     void release();
 
     bool leads() const { return _leader && !_leader->hasEnded(); }
 
-    /** @return whether this node grants a part of the shard's units as deputy. */
+    /** @return whether this node grants a part of the shard's units as a deputy. */
     bool isDeputy() const { return _deputy && !_deputy->hasWithdrawn(); }
 
 private:
-    /** What was read of the record. */
+    /** The record as it was last read. */
     struct KnownRecord {
         RecordParts parts;
-        /** When it was read last. */
+        /** Time of the last read. */
         TimePoint loadedAt{};
 
         const QuotaShardRecord& record() const { return parts.record(); }
@@ -95,27 +97,27 @@
 
     ShardContext _context;
     std::unique_ptr<ShardLeader> _leader;
-    /** Kept after it has withdrawn until nothing that it granted counts. */
+    /** Kept after its withdrawal until no unit that it granted counts any more. */
     std::unique_ptr<ShardLeader> _deputy;
-    /** Since when neither the leader nor its standby has been in reach. */
+    /** Since when the leader has been unreachable. */
     std::optional<TimePoint> _cutOffSince;
-    /** When the deputy looks again whether it is needed. */
+    /** Time of the deputy's next check whether it is still needed. */
     TimePoint _deputyDueAt{};
-    /** When the deputy asked the leader last whether it is there. */
+    /** Time of the deputy's last probe of the leader. */
     TimePoint _lookedAt{};
-    /** When a question that asks for nothing was handed on last. */
+    /** Time when a request without units was last forwarded. */
     TimePoint _probedAt{};
-    /** Asked for last. */
+    /** Tenant of the latest request. */
     TenantName _tenant;
     LedgerCopy _copy;
     std::optional<KnownRecord> _known;
-    /** What would count if the newest claim, of which no answer came, was done all the same. */
+    /** Ledgers that apply if the newest claim, whose outcome is unknown, was written. */
     ShardLedgers _claimedLedgers;
     bool _claimedWithCopy = false;
     bool _claimPending = false;
     /** Version that the newest claim replaces. */
     StoreVersion _claimedUnder;
-    /** When the leader declined a question last. */
+    /** Time when the leader last declined a request. */
     TimePoint _leaderDeclinedAt{};
     bool _calling = false;
     bool _released = false;
--- a/src/tenancy/QuotaShardDeputy.cpp
+++ b/src/tenancy/QuotaShardDeputy.cpp
@@ -1,4 +1,4 @@
-/** When a node becomes a deputy of a shard's leader, and when it is one no more. */
+/** When a node becomes a deputy of a shard's leader, and when it stops being one. */
 #include <algorithm>
 
 #include "base/Log.h"
@@ -9,18 +9,18 @@
 
 using std::chrono::milliseconds;
 
-/** Leader and standby have to be out of reach for so long before this node may be a deputy: opening
- * a link anew takes less, and statements that wait still get an answer in time. */
+/** Time for which leader and standby have to be unreachable before this node may be a deputy.
+ * Reconnecting takes less time, and queued statements still get a response in time. */
 constexpr Duration kCutOffFor = milliseconds(100);
-/** The same while the standby seems to be in reach, but has not answered either: it leads within
- * this time if the leader has died. */
+/** The same time while the standby appears reachable but has not responded either. A standby takes
+ * over within this time if the leader has failed. */
 constexpr Duration kStandbySilence = milliseconds(300);
-/** A deputy looks so often whether the leader is in reach. */
+/** Interval at which a deputy checks whether the leader is reachable. */
 constexpr Duration kLookEvery = milliseconds(200);
 
 }  // namespace
 
-/** @return whether a node is in reach that may grant with the leader's part. */
+/** @return whether a node is reachable that may grant from the leader's part. */
 bool QuotaShard::reachesLeader() const {
     return _known && (canReach(_known->record().leader) || canReach(_known->record().standby));
 }
@@ -40,8 +40,9 @@
     }
 }
 
-/** This node leads no more. A successor that it does not reach was its standby, of which it has
- * waited for an answer in vain: no need to wait again before it is a deputy. */
+/** Handles the end of this node's leadership. An unreachable successor was this node's standby, for
+ * whose acknowledgements it has already waited in vain. This node therefore need not wait again
+ * before it becomes a deputy. */
 void QuotaShard::followSuccessor(TimePoint now) {
     const RecordParts parts = _leader->parts();
     _leader.reset();
@@ -54,10 +55,10 @@
     }
 }
 
-/** Asks for no units: only the answer matters. */
+/** Sends a request without units, for which only the arrival of a response matters. */
 void QuotaShard::probe(const NodeName& node, QuotaQuestion question, QuotaReply onAnswered) {
     question.wanted = 0;
-    // It is no reason for a standby to lead.
+    // A probe must not cause a standby to take over.
     question.leaderSilent = false;
     question.settled.clear();
     question.wantedByRank.clear();
@@ -70,7 +71,8 @@
                        });
 }
 
-/** A link that is open again proves little: the leader has to answer. */
+/** Probes the leader. A reopened connection alone does not prove that the leader works, so the
+ * leader has to respond. */
 void QuotaShard::lookForLeader(TimePoint now) {
     const std::optional<NodeName> target = relayTarget();
     if (!target || !reachesLeader() || now - _lookedAt < kLookEvery) {
@@ -79,7 +81,7 @@
     _lookedAt = now;
     QuotaQuestion question;
     question.tenant = _tenant;
-    // A standby may hand it on.
+    // Leaves one hop, so that a standby may forward the probe.
     question.hops = kMostQuotaHops - 1;
     probe(*target, question, [this](const QuotaAnswer& /*answer*/) {
         _cutOffSince.reset();
@@ -89,7 +91,8 @@
     });
 }
 
-/** @return when this node may be a deputy at the earliest, if it is cut off. */
+/** @return the earliest time at which this node may be a deputy, if it is cut off from the leader.
+ */
 TimePoint QuotaShard::deputyDue() const {
     if (!_cutOffSince || !_known) {
         return TimePoint::max();
@@ -98,13 +101,13 @@
     return *_cutOffSince + (reachesStandby ? kStandbySilence : kCutOffFor);
 }
 
-/** @return whether questions may be answered here soon. */
+/** @return whether this node may soon become a deputy and answer requests itself. */
 bool QuotaShard::waitsToBeDeputy() const {
     return _cutOffSince && _known && _context.clock.now() < deputyDue() && !_released &&
            _known->parts.mayJoin(_context.self);
 }
 
-/** @return a node in reach that has a part of its own in use. */
+/** @return a reachable deputy whose part may be in use. */
 std::optional<NodeName> QuotaShard::reachableDeputy() const {
     const TimePoint now = _context.clock.now();
     for (const DeputyPart& part : _known->record().deputies) {
@@ -130,17 +133,18 @@
         .field("leader", _known->record().leader.node)
         .field("version", _known->record().version);
     if (_deputy) {
-        // What it granted before counts on.
+        // Units that it granted before continue to count.
         _deputy->resume();
     } else {
         _deputy = std::make_unique<ShardLeader>(_context, _known->parts);
     }
 }
 
-/** A deputy ends where the leader is in reach again, and leads where its lease is over. */
+/** Runs the periodic work of a deputy. A deputy stops when the leader is reachable again, and takes
+ * over when the leader's lease has expired. */
 void QuotaShard::tickDeputy(TimePoint now) {
     if (_deputy && _deputy->isOutdated()) {
-        // Its part is lost with what the store has written last.
+        // The store has lost the deputy's part together with its latest writes.
         _deputy->abandon();
         _deputy.reset();
     }
--- a/src/tenancy/QuotaShardRecord.h
+++ b/src/tenancy/QuotaShardRecord.h
@@ -1,4 +1,5 @@
-/** The record of a shard of tenants in the platform's store: which node may grant their quotas. */
+/** The record of a shard of tenants in the platform's store, which names the nodes that may grant
+ * the tenants' quotas. */
 #pragma once
 
 #include <cstdint>
@@ -15,10 +16,10 @@
 
 namespace coralhoist::tenancy {
 
-/** One life of a node. */
+/** One incarnation of a node. */
 struct NodeLife {
     NodeName node;
-    /** Differs after each start of the node. */
+    /** Incarnation identifier, which differs after each start of the node. */
     std::string life;
 
     /** @return whether it names a node at all. */
@@ -27,94 +28,95 @@
     bool operator==(const NodeLife&) const = default;
 };
 
-/** What the record tells of one tenant, for a leader that has no copy of the ledger. */
+/** State of one tenant in the record, for a new leader that has no copy of the ledger. */
 struct RecordedQuota {
-    /**
-     * Units that counted when the record was written, by how long they would still count: the entry
-     * at index i counts for (i + 1) steps at most.
-     */
+    /** Units that counted when the record was written, grouped by how long they would still count:
+     * the entry at index i counts for (i + 1) steps at most. */
     std::vector<std::uint32_t> counting;
-    /** The most units that the leader grants under this version of the record. */
+    /** Most units that the leader may grant under this version of the record. */
     std::uint32_t allowance = 0;
 
     bool operator==(const RecordedQuota&) const = default;
 };
 
-/** What the record tells of each tenant in one part. */
+/** State of each tenant in one part of the record. */
 using RecordedQuotas = std::map<TenantName, RecordedQuota>;
 
-/** The part of one deputy: grants units where neither the leader nor its standby is in reach. */
+/** Part of one deputy, a node that grants units where neither the leader nor its standby can be
+ * reached. */
 struct DeputyPart {
     NodeLife holder;
-    /** It may write allowances into its part; otherwise its units only count until they age out. */
+    /** The deputy may write allowances into its part. Otherwise its units only count until they age
+     * out. */
     bool grants = true;
-    /** Token of the version of the record that the holder replaced when it wrote this part. It
-     * makes each writing of one life distinct, so that a new one is not taken for one whose lease
-     * is over. */
+    /** Token of the record version that the holder replaced when it wrote this part. It makes each
+     * write of one incarnation distinct, so that a new part is not taken for an earlier one whose
+     * lease has expired. */
     std::uint64_t replacedVersion = 0;
-    /** Tenants that were asked for there; no other was granted anything. */
+    /** Tenants for which units were requested from the deputy. It granted nothing to any other
+     * tenant. */
     RecordedQuotas tenants;
 
     bool operator==(const DeputyPart&) const = default;
 };
 
-/** Step of `RecordedQuota::counting`: with 0.5 s a window and the longest lease are 14 numbers a
+/** Step of `RecordedQuota::counting`. With 0.5 s, a window and the longest lease need 14 numbers a
  * tenant. */
 constexpr Duration kCountingStep = std::chrono::milliseconds(500);
 
-/**
- * One shard's record. The leader writes it anew before its lease ends; whoever else changes it
- * under its version leads from then on, and the former leader must have stopped before.
- */
+/** One shard's record. The leader rewrites it before its lease ends. Any other node that replaces
+ * the leader in the version that it has read leads from then on, and the former leader must have
+ * stopped before. */
 struct QuotaShardRecord {
-    /** Grants units; nobody when the former leader has stopped as planned. */
+    /** Node that grants units. Empty when the former leader has shut down as planned. */
     NodeLife leader;
-    /** Has a copy of every grant that was ever answered, and may lead at once; or nobody. */
+    /** Node that has a copy of every grant that was ever sent in a response, and may therefore take
+     * over at once. Empty when there is none. */
     NodeLife standby;
-    /** A tenant that is not listed was granted nothing. */
+    /** The leader's part. A tenant that is not listed was granted nothing. */
     RecordedQuotas tenants;
-    /** Parts of the tenants' bounds that the leader doesn't have. */
+    /** Parts of the tenants' bounds that are assigned to deputies instead of the leader. */
     std::vector<DeputyPart> deputies;
-    /** Makes each writing of the leader differ: the store takes one of the same content for no
-     * change. */
+    /** Makes each write of the leader differ, because the store treats a write of identical content
+     * as no change. */
     std::uint64_t renewals = 0;
-    /** Era of the store in which it was written. What an earlier one says may have been followed by
-     * claims and parts that the store has lost. */
+    /** Era of the store in which the record was written. A record of an earlier era may have been
+     * followed by claims and parts that the store has lost. */
     std::uint64_t writtenIn = 0;
-    /** Version in the store; one that does not exist when there is no record. */
+    /** Version in the store; a version that does not exist when there is no record. */
     StoreVersion version;
 
     bool operator==(const QuotaShardRecord&) const = default;
 };
 
-/** Answer to a load. A record that is missing has a version that does not exist. */
+/** Result of a load. A missing record has a version that does not exist. */
 struct LoadedShard {
     StoreOutcome outcome = StoreOutcome::Unavailable;
     QuotaShardRecord record;
 };
 
-/** Answer to a save. */
+/** Result of a save. */
 struct SavedShard {
     StoreOutcome outcome = StoreOutcome::Unavailable;
-    /** Version of the record after it was done. */
+    /** Version of the record after a successful save. */
     StoreVersion version;
 };
 
-/** The store. Callbacks come later, on the same thread, once. */
+/** Store of shard records. Each callback is called once, later and on the same thread. */
 class QuotaShardStore {
 public:
     virtual ~QuotaShardStore() = default;
 
     virtual void load(std::uint32_t shard, std::function<void(const LoadedShard&)> callback) = 0;
 
-    /** Writes the record if the store has the version that it names. */
+    /** Writes the record if the store still holds the version that the record names. */
     virtual void save(std::uint32_t shard, const QuotaShardRecord& record,
                       std::function<void(const SavedShard&)> callback) = 0;
 };
 
-/** Tenants are spread over so many shards. Each costs a writing call of the store every 2 s while
- * its tenants are active; one that loses its leader and standby at once is the loss of a share of
- * the tenants. All nodes must agree. */
+/** Number of shards over which tenants are spread. Each shard costs one write call to the store
+ * every 2 s while its tenants are active. When a shard loses its leader and its standby at the same
+ * time, its share of the tenants is affected. All nodes must use the same number. */
 constexpr std::uint32_t kQuotaShards = 16;
 
 /** @return the shard of a tenant. */
--- a/src/tenancy/RecordAllowances.cpp
+++ b/src/tenancy/RecordAllowances.cpp
@@ -6,19 +6,21 @@
 namespace coralhoist::tenancy {
 namespace {
 
-/** Part of a tenant's bound that a version of the record allows at least. More makes the record be
- * written less often in a flood, and leaves a new leader without a copy less. */
+/** Smallest allowance in a version of the record, as a share of the tenant's bound. A larger value
+ * makes the record be written less often under a flood of requests, but leaves less for a new
+ * leader without a copy. */
 constexpr double kLeastAllowance = 0.25;
-/** A tenant's allowance is so many times what it used in the last window: at the end of 2 s without
- * a renewal it lasts for 4.5 s more, in which the store may be away. */
+/** A tenant's allowance as a multiple of its usage in the last window. After 2 s without a renewal
+ * it still lasts for 4.5 s, during which the store may be unavailable. */
 constexpr double kWindowsAllowed = 1.3;
-/** The same for quotas with a short window, of which each renewal of the record would otherwise
- * last for a part of a second only. */
+/** Allowance in windows for quotas with a short window. With a smaller value, the allowance of each
+ * renewal would last for a fraction of a second only. */
 constexpr std::uint32_t kShortWindowsAllowed = 5;
-/** The leader leaves units for a deputy to allow itself: this part of those that count, as far as
- * its own least allowance permits. They last until the leader knows of the deputy. */
+/** Share of the counted units that the leader leaves free for a deputy's allowance, as far as the
+ * leader's own smallest allowance permits. These units last until the leader knows of the deputy.
+ */
 constexpr double kRoomForDeputy = 0.25;
-/** Part of the bound that each of two sides may have at least while both are asked. */
+/** Smallest share of the bound that each of two partitions may have while both receive requests. */
 constexpr double kLeastShare = 0.25;
 
 std::uint32_t unitsIn(const std::map<TenantName, std::uint32_t>& allowances,
@@ -33,14 +35,14 @@
     left -= std::min(left, units);
 }
 
-/** @return units that a holder wants beyond those that count. */
+/** @return units that a holder needs in addition to its counted units. */
 std::uint32_t wantedBeyond(std::uint32_t counted, std::uint32_t bound) {
     const auto least = static_cast<std::uint32_t>(bound * kLeastAllowance) + 1;
     return std::max(least, static_cast<std::uint32_t>(counted * kWindowsAllowed));
 }
 
-/** @return units to allow a leader where no other part allows anything; its ledger keeps to the
- * bound. */
+/** @return the allowance of a leader where no other part allows anything. The leader's ledger keeps
+ * to the bound. */
 std::uint32_t allowanceAlone(std::uint32_t counted, std::uint32_t bound) {
     const auto least = static_cast<std::uint32_t>(bound * kLeastAllowance) + 1;
     const auto kept = static_cast<std::uint32_t>(counted * kRoomForDeputy);
@@ -48,7 +50,8 @@
     return std::min(wantedBeyond(counted, bound), std::max(least, left));
 }
 
-/** @return units to allow beside others, so that all parts together are within the bound. */
+/** @return the allowance of one holder beside others, such that all parts together are within the
+ * bound. */
 std::uint32_t allowanceBeside(std::uint32_t counted, const ForeignUnits& others,
                               std::uint32_t bound) {
     const std::uint32_t left = bound - std::min(bound, counted + others.all());
--- a/src/tenancy/RecordAllowances.h
+++ b/src/tenancy/RecordAllowances.h
@@ -1,6 +1,5 @@
-/** What a leader or deputy may still grant under each version of its shard's record that may be the
- * newest.
- */
+/** Units that a leader or deputy may still grant under each version of its shard's record that may
+ * be the newest. */
 #pragma once
 
 #include <cstdint>
@@ -14,25 +13,24 @@
 
 namespace coralhoist::tenancy {
 
-/**
- * While a writing is under way, or was not answered, the record may be either version. So a grant
- * is taken from the allowances of all of them, and may not exceed any.
- */
+/** While a write is in flight or its outcome is unknown, the record may be in either version. Each
+ * grant is therefore deducted from the allowances of all these versions and may not exceed any of
+ * them. */
 class RecordAllowances {
 public:
-    /** @param quotas the part of this node in the record that is in force. */
+    /** @param quotas this node's part of the record that is in force. */
     explicit RecordAllowances(const RecordedQuotas& quotas) : _inForce(allowancesOf(quotas)) {}
 
-    /** @return units of the tenant that may still be granted. */
+    /** @return units that may still be granted to the tenant. */
     std::uint32_t left(const TenantName& tenant) const;
 
-    /** Units were granted. */
+    /** Deducts granted units. */
     void take(const TenantName& tenant, std::uint32_t units);
 
-    /** The record is being written. */
+    /** Called when a write of the record starts. */
     void onSaving(const RecordedQuotas& quotas) { _beingWritten = allowancesOf(quotas); }
 
-    /** The writing ended as given. */
+    /** Called when the write has ended with the given outcome. */
     void onSaved(StoreOutcome outcome);
 
 private:
@@ -42,18 +40,19 @@
 
     Allowances _inForce;
     std::optional<Allowances> _beingWritten;
-    /** The smallest of all versions that may still be written late. */
+    /** Per tenant, the smallest allowance of all versions whose write may still be applied late. */
     std::optional<Allowances> _doubtful;
 };
 
-/** @return what counts of each tenant now, without allowances. */
+/** @return the units of each tenant that count now, without allowances. */
 RecordedQuotas countedQuotas(ShardLedgers& ledgers, TimePoint now);
 
-/** @return the leader's part: what the record is to say of all tenants of the shard. */
+/** @return the leader's part: the entries that the record gets for all tenants of the shard. */
 RecordedQuotas leaderQuotas(const ShardContext& context, const RecordParts& parts,
                             ShardLedgers& ledgers, TimePoint now);
 
-/** @return a deputy's part: the tenants that it was asked for, which have a ledger. */
+/** @return a deputy's part, which lists the tenants that have a ledger because units were requested
+ * for them. */
 RecordedQuotas deputyQuotas(const ShardContext& context, const RecordParts& parts,
                             ShardLedgers& ledgers, TimePoint now);
 
--- a/src/tenancy/RecordParts.cpp
+++ b/src/tenancy/RecordParts.cpp
@@ -9,7 +9,7 @@
 namespace coralhoist::tenancy {
 namespace {
 
-/** @return units of the part that count at the given time, if it was written at the other. */
+/** @return units of the part that count at `now`, if the part was written at `writtenAt`. */
 std::uint32_t countingAt(const RecordedQuota& quota, TimePoint writtenAt, TimePoint now) {
     std::uint32_t units = 0;
     for (std::size_t index = 0; index < quota.counting.size(); ++index) {
@@ -27,12 +27,12 @@
     counting[index] += units;
 }
 
-/** @return the index of what counts for so long still. */
+/** @return the index of units that still count for the given time. */
 std::size_t indexFor(Duration left) {
     return static_cast<std::size_t>(left / kCountingStep);
 }
 
-/** @return units that count now, by how long they still do. */
+/** @return the units that count now, grouped by how long they still count. */
 std::vector<std::uint32_t> agedCounting(const RecordedQuota& quota, TimePoint writtenAt,
                                         TimePoint now) {
     std::vector<std::uint32_t> aged;
@@ -50,7 +50,8 @@
                        [](const auto& entry) { return entry.second.allowance > 0; });
 }
 
-/** @return whether the leader may have written since: a writing of a deputy leaves its part. */
+/** @return whether the leader may have written the record in between. A deputy's write leaves the
+ * leader's part unchanged. */
 bool mayHaveWrittenLeader(const QuotaShardRecord& known, const QuotaShardRecord& read) {
     const bool isSame = known.leader == read.leader && known.standby == read.standby &&
                         known.renewals == read.renewals && known.tenants == read.tenants;
@@ -145,10 +146,12 @@
     return units;
 }
 
-/** @return the part of a holder whose lease is over: what it allowed counts. */
+/** @return the part of a holder whose lease has expired, with its allowance turned into counting
+ * units. */
 DeputyPart RecordParts::ended(const DeputyPart& part, Duration window, TimePoint now) const {
     const TimePoint seen = seenAt(part, now);
-    // No unit that it granted runs later, and each counts for a window more.
+    // No unit that the holder granted runs after its lease and the longest quota lease, and each
+    // unit counts for one more window.
     const TimePoint countsUntil = seen + kShardLeaseOfOthers + kLongestQuotaLease + window;
     DeputyPart ended = part;
     ended.grants = false;
--- a/src/tenancy/RecordParts.h
+++ b/src/tenancy/RecordParts.h
@@ -1,5 +1,5 @@
-/** The parts of a shard's record as one node has read them: what its leader and its deputies may
- * grant at a time. */
+/** The parts of a shard's record as read by one node, which determine what the shard's leader and
+ * its deputies may grant at a time. */
 #pragma once
 
 #include <cstddef>
@@ -14,85 +14,92 @@
 
 namespace coralhoist::tenancy {
 
-/** Cuts into so many sides beside the leader's are served. */
+/** Most deputies of a shard, and so the number of network partitions beside the leader's in which
+ * units are granted. */
 constexpr std::size_t kMostDeputies = 3;
 
-/** What other holders of parts may have of one tenant's bound. */
+/** Units of one tenant's bound that other holders of parts may have. */
 struct ForeignUnits {
     /** Units that still count. */
     std::uint32_t counting = 0;
-    /** Units that they may still grant. */
+    /** Units that the other holders may still grant. */
     std::uint32_t allowed = 0;
-    /** Another holder was asked for the tenant and may write itself an allowance. */
+    /** Another holder has received requests for the tenant and may write itself an allowance. */
     bool shares = false;
 
     std::uint32_t all() const { return counting + allowed; }
 };
 
 /**
- * The record of a shard holds the leader's part and parts of deputies. A part lists units that
- * counted when it was written, and an allowance for each tenant. Versions are a total order, since
- * each writing names the version that it replaces.
+ * The record of a shard holds the leader's part and the parts of deputies. A part lists units that
+ * counted when it was written, and an allowance for each tenant. Versions form a total order, since
+ * each write names the version that it replaces.
  *
- * INVARIANT, for each tenant and at each moment, of the newest version: what the holder of a part
- * has granted and may still run is within the part's counting units, by their age, and its
- * allowance; and either
- *  - the sum of all parts, counting units by age and allowances, is within the bound, or
- *  - only one part allows anything, and its holder keeps its ledger and the counting units of all
- *    others within the bound at each grant.
- * So the units of all holders together are within the bound, whatever fails.
+ * INVARIANT, for each tenant and at each moment, in the newest version: the units that the holder
+ * of a part has granted and that may still run are within the sum of the part's counting units, by
+ * their age, and its allowance; and either
+ * - the sum of all parts, counting units by age and allowances, is within the bound, or
+ * - only one part allows anything, and its holder keeps its ledger and the counting units of all
+ *   other parts within the bound at each grant.
+ * The units of all holders together are therefore within the bound under any failure.
  *
- * It holds because
- *  - a holder grants only within its lease, within its allowance under each version that may be
- *    the newest (`RecordAllowances`), and while its ledger and the parts of others in the newest
- *    version that it knows are within the bound;
- *  - a writer lets its own allowance be what the parts of all others leave in the version that it
- *    replaces. Only a leader may allow itself more, and only where no other part allows anything:
- *    units that count end while it grants, and its ledger sees that. A deputy never does;
- *  - a writer leaves the parts of others as they are, but for two cases in which the sum stays:
- *    a part whose holder's lease is over for sure has its allowance counted, for the longest time
- *    for which a unit of it can count; one that allows and counts nothing any more is left out.
- *    A new leader takes over the part of the leader before it.
+ * The invariant holds because
+ * - a holder grants only within its lease, within its allowance under each version that may be the
+ *   newest (`RecordAllowances`), and while its ledger and the parts of others in the newest version
+ *   that it knows are within the bound;
+ * - a writer limits its own allowance to what the parts of all others leave in the version that it
+ *   replaces. Only a leader may allow itself more, and only where no other part allows anything:
+ *   counted units expire while it grants, and its ledger accounts for that. A deputy never allows
+ *   itself more;
+ * - a writer leaves the parts of others as they are, with two exceptions that preserve the sum: in
+ *   a part whose holder's lease has certainly expired, the allowance becomes counting units for the
+ *   longest time for which such a unit can count; a part that no longer allows or counts anything
+ *   is removed.
+ * A new leader takes over the part of the previous leader.
  *
- * A deputy's counting units and lease are taken from when this writing of its part was first seen.
+ * The age of a deputy's counting units and its lease are measured from the time at which this node
+ * first saw this write of the part.
  *
- * A store that has returned older may have lost parts whose holders grant on. All parts of the
- * newest version together were within the bound, so those that are not known were within what the
- * leader's own part left of it: a leader reserves that for them until nothing of theirs counts any
- * more.
+ * A store that was restored from an older copy may have lost parts whose holders continue to grant.
+ * All parts of the newest version together were within the bound, so the unknown parts were within
+ * what the leader's own part left of it. A leader reserves that remainder for them until none of
+ * their units counts any more.
  */
 class RecordParts {
 public:
-    /** The record was read, or written by this node. */
+    /** Called when this node has read or written the record. */
     void onKnown(const QuotaShardRecord& record, TimePoint now);
 
-    /** The store has returned older: this is the version that stands in place of the known one, of
-     * which the content is kept. */
+    /** Called when the store was restored from an older copy. The given version replaces the known
+     * version, and the known content is kept. */
     void replaceVersion(const StoreVersion& version) { _record.version = version; }
 
-    /** Parts may have been lost: what the leader's part leaves of each tenant's bound is reserved.
-     */
+    /** Reserves what the leader's part leaves of each tenant's bound, because the store may have
+     * lost other parts. */
     void reserveForLost(const QuotaTerms& terms, const TenantDirectory& tenants, TimePoint until);
 
-    /** @return when the newest writing of the leader was seen first. */
+    /** @return when the leader's newest write was first seen. */
     TimePoint leaderSeenAt() const { return _leaderSeenAt; }
 
-    /** @return whether the deputy's part may be in use: its lease may last. */
+    /** @return whether the deputy may be granting from its part because its lease may still be
+     * valid. */
     bool mayGrant(const DeputyPart& part, TimePoint now) const;
 
-    /** @return the parts of others of the known record, for its leader. */
+    /** @return the units that others than the leader of the known record have, including units
+     * reserved for lost parts. */
     ForeignUnits besidesLeader(const TenantName& tenant, TimePoint now) const;
 
-    /** @return the parts of others of the known record, for one of its deputies. */
+    /** @return the units that others than the given deputy have in the known record. */
     ForeignUnits besidesDeputy(const NodeLife& deputy, const TenantName& tenant,
                                TimePoint now) const;
 
-    /** @return the deputies' parts for the next version: those whose lease is over for sure only
-     * count, those that neither allow nor count are left out. A part that only counts is not
-     * written anew, since its steps are rounded up each time. */
+    /** @return the deputies' parts for the next version. Parts whose lease has certainly expired
+     * are reduced to counting units, and parts that neither allow nor count anything are removed. A
+     * part that already only counts is copied unchanged, since its steps would be rounded up on
+     * each rewrite. */
     std::vector<DeputyPart> cleared(Duration window, TimePoint now) const;
 
-    /** @return whether the record has room for the deputy's part, or has it. */
+    /** @return whether the record has room for the deputy's part or already holds it. */
     bool mayJoin(const NodeLife& deputy) const;
 
     const QuotaShardRecord& record() const { return _record; }
@@ -110,11 +117,11 @@
     bool countsNothing(const DeputyPart& part, TimePoint now) const;
 
     QuotaShardRecord _record;
-    /** Units that holders of lost parts may have, and until when. */
+    /** Units that holders of lost parts may have, and the time until which they are reserved. */
     std::map<TenantName, std::uint32_t> _reserved;
     TimePoint _reservedUntil{};
     TimePoint _leaderSeenAt{};
-    /** By the life of the deputy. */
+    /** Deputies' parts and when they were first seen, by the deputy's incarnation. */
     std::map<std::string, Seen> _seen;
 };
 
--- a/src/tenancy/ShardLeader.cpp
+++ b/src/tenancy/ShardLeader.cpp
@@ -11,17 +11,18 @@
 
 using std::chrono::milliseconds;
 
-/** When to ask again a leader that can't answer now. */
+/** Retry delay for requests to a leader that can't respond now. */
 constexpr Duration kRetryAfterDecline = milliseconds(200);
 constexpr Duration kLongestRetry = std::chrono::seconds(1);
-/** The same where ranks matter: after a window all that counts now has ended. */
+/** Longest retry delay where ranks matter. All units that count now have expired after one window.
+ */
 constexpr Duration kLongestPutOff = std::chrono::seconds(5);
-/** A tenant of which more than this part of its bound counts uses most of its quota. */
+/** A tenant whose count exceeds this share of its bound uses most of its quota. */
 constexpr double kScarceAbove = 0.75;
-/** The record is written anew when a tenant has so small a part of its allowance left. */
+/** The record is rewritten when no more than this share of a tenant's allowance is left. */
 constexpr double kAllowanceLow = 0.3;
 
-/** @return what the question wants, the most urgent rank first. */
+/** @return the units that the request asks for, the most urgent rank first. */
 std::vector<RankedWish> wishesOf(const QuotaQuestion& question) {
     const auto wanted = [&question](std::size_t index) {
         return index < question.wantedByRank.size() ? question.wantedByRank[index] : 0;
@@ -37,7 +38,7 @@
     return wishes;
 }
 
-/** @return how long the units that are asked for are usable. */
+/** @return how long the requested units are usable. */
 Duration usableFor(const QuotaQuestion& question) {
     return std::min(question.usableFor, kLongestQuotaLease);
 }
@@ -49,7 +50,8 @@
     : _context(context),
       _role(ShardRole::Leader),
       _parts(std::move(parts)),
-      // A version that was only read may be a deputy's writing, which names that one's batches.
+      // A version that this node has only read may be a deputy's write, and its token then
+      // identifies the deputy's batches.
       _term(context.clock.now() < leaseUntil ? _parts.record().version.token() : 0),
       _leaseUntil(leaseUntil),
       _ledgers(std::move(ledgers)),
@@ -74,7 +76,8 @@
         _pacers[question.tenant].giveBack(unused);
     }
     if (question.wanted > 0 && _context.tenants().find(question.tenant) != nullptr) {
-        // A deputy writes allowances of those that it was asked for.
+        // A deputy writes allowances only for tenants for which it has received requests; the
+        // ledger marks them.
         ledgerOf(question.tenant);
     }
     HeldQuestion held{question, std::move(reply), now};
@@ -95,7 +98,8 @@
            question.hops < kMostQuotaHops;
 }
 
-/** While this node can't write the record it can't learn who leads either. */
+/** Forwards the request to the probable new leader. While this node can't write the record, it
+ * can't read from it who leads either. */
 void ShardLeader::handOn(const HeldQuestion& held) {
     ++_context.statistics.relayed;
     QuotaQuestion question = held.question;
@@ -113,7 +117,7 @@
     return bound - std::min(bound, ledgerOf(tenant.name).counted(now) + others);
 }
 
-/** @return units that bound and allowance leave. */
+/** @return the requested units, limited by what bound and allowance leave. */
 std::uint32_t ShardLeader::grantable(const Tenant& tenant, std::uint32_t wanted, TimePoint now) {
     const std::uint32_t free = freeUnits(tenant, now);
     const std::uint32_t left = _allowances.left(tenant.name);
@@ -121,19 +125,20 @@
     const bool isNamed = own != ownQuotas().end();
     const std::uint32_t allowed = isNamed ? own->second.allowance : 0;
     if (!isNamed) {
-        // The pause is for allowances that are used up: a tenant's first one waits for none.
+        // The pause applies only to allowances that are used up. A tenant's first allowance is
+        // written without waiting.
         _nextAllowanceAt = TimePoint{};
     }
     _needsAllowance = _needsAllowance || (free > 0 && left <= allowed * kAllowanceLow);
     return std::min({wanted, free, left});
 }
 
-/** @return units that are granted now, so that a flood is spread over time. */
+/** @return the units that are granted now. Pacing spreads a flood of requests over time. */
 std::uint32_t ShardLeader::paced(const Tenant& tenant, std::uint32_t units, TimePoint now) {
     return std::min(units, _pacers[tenant.name].available(_context.terms, tenant.quota, now));
 }
 
-/** @return whether ranks matter to the question and to this node. */
+/** @return whether ranks matter to both the request and this node. */
 bool ShardLeader::knowsTurns(const QuotaQuestion& question) const {
     return !question.wantedByRank.empty() && _context.ranks != nullptr &&
            _context.ranks->ranksDiffer;
@@ -147,7 +152,7 @@
     return {paced(tenant, units, now), {}, {}};
 }
 
-/** @param units what ledger and allowance leave. */
+/** @param units most units to grant, by ledger and allowance. */
 ShardLeader::RankedGrant ShardLeader::pacedByRank(const Tenant& tenant,
                                                   const QuotaQuestion& question,
                                                   std::uint32_t units, TimePoint now) {
@@ -158,12 +163,13 @@
     RankedGrant granted;
     granted.byRank.resize(settings::kAdmissionRanks);
     PacedUnits paced = pacer.paced();
-    // After a loss of the leader the bound leaves less than the bucket: the same order holds then.
+    // After a change of leader, the bound may leave fewer units than the token bucket. The order of
+    // ranks applies to these units in the same way.
     const std::uint32_t left = std::min(freeUnits(tenant, now), _allowances.left(tenant.name));
     paced.tokens = std::min<double>(paced.tokens, left);
     for (const RankedWish& asked : wishesOf(question)) {
         const std::uint32_t inTurn = turns.claim(asked.rank, asked.inTurn, now);
-        // Who has no turn here, as with a new leader, is a new one.
+        // Units whose reservation is unknown here, as with a new leader, count as new requests.
         const std::uint32_t fresh = asked.fresh + asked.inTurn - inTurn;
         const RankedWish wish{asked.rank, fresh, inTurn, asked.nowOnly};
         turns.noteAsked(wish.rank, wish.fresh + wish.nowOnly, now);
@@ -182,16 +188,17 @@
     return granted;
 }
 
-/** @return after which time the bound leaves so many units. */
+/** @return the time after which the bound leaves the given number of units. */
 Duration ShardLeader::untilFree(const Tenant& tenant, std::uint32_t units, TimePoint now) {
     const std::uint32_t free = freeUnits(tenant, now);
     return units > free ? ledgerOf(tenant.name).untilFreed(units - free, now) : Duration(0);
 }
 
 /**
- * What is put off gets a turn behind those of its rank and of more urgent ones, unless it lies so
- * far away that nobody waits for it.
- * @return the time of the most urgent one.
+ * Reserves a later time slot for deferred units, behind those of the same rank and of more urgent
+ * ones. No slot is reserved when it would lie beyond the longest time for which a request of the
+ * rank waits.
+ * @return the time until the most urgent deferred units can be granted.
  */
 Duration ShardLeader::putOff(const Tenant& tenant, const RankedGrant& granted, TimePoint now) {
     UnitTurns& turns = _turns[tenant.name];
@@ -244,7 +251,7 @@
     }
 }
 
-/** @return whether the tenant's bound leaves units, but the record's allowance does not. */
+/** @return whether the tenant's bound leaves units but the record's allowance does not. */
 bool ShardLeader::isLimitedByAllowance(const Tenant& tenant, TimePoint now) {
     return _allowances.left(tenant.name) == 0 && freeUnits(tenant, now) > 0;
 }
@@ -267,7 +274,8 @@
     }
     answer.scarce = ledger.counted(now) > kScarceAbove * _context.terms.bound(tenant.quota);
     const std::uint32_t missing = question.wanted - units;
-    // While the record is written for a new allowance, the rest may be had at once.
+    // While the record is being written for a new allowance, the rest may be available at once, so
+    // no retry delay is set.
     if (missing > 0 && !isLimitedByAllowance(tenant, now)) {
         if (!granted.putOff.empty()) {
             answer.retryAfter = putOff(tenant, granted, now);
@@ -324,7 +332,7 @@
         update.released = true;
         sendUpdate(std::move(update), std::nullopt);
     } else if (!_calling && !isOutdated()) {
-        // Nobody else knows what counts, so the record says it.
+        // No other node has a copy of the counted units, so the record must list them.
         QuotaShardRecord released = _parts.record();
         released.writtenIn = released.version.era;
         released.leader = {};
@@ -332,7 +340,7 @@
         released.tenants = countedQuotas(_ledgers, now);
         ++released.renewals;
         _context.store.save(_context.shard, released, [](const SavedShard& /*saved*/) {
-            // Where it fails, the lease ends by itself.
+            // If the write fails, the lease expires by itself.
         });
     }
     end();
--- a/src/tenancy/ShardLeader.h
+++ b/src/tenancy/ShardLeader.h
@@ -1,4 +1,4 @@
-/** The leader of one shard of tenants, or a deputy of it: grants their units. */
+/** The leader or a deputy of one shard of tenants, which grants units of the tenants' quotas. */
 #pragma once
 
 #include <cstdint>
@@ -17,87 +17,91 @@
 
 namespace coralhoist::tenancy {
 
-/** Whose part of the record a node writes. */
+/** Role in which a node writes its part of the record. */
 enum class ShardRole { Leader, Deputy };
 
 /**
- * Grants within a tenant's bound and within the allowance that the shard's record names for it,
- * while its lease of the record lasts. A grant is answered once the standby has it, so that the
- * standby may lead at any moment without waiting; without a copy, a new leader counts what the
- * record lists and the whole allowance.
+ * Grants units within a tenant's bound and within the allowance that the shard's record names for
+ * the tenant, while this node's lease of the record lasts. A response with a grant is sent only
+ * after the standby has acknowledged the grant, so that the standby may take over at any moment
+ * without waiting. A new leader without a copy counts the units that the record lists and the whole
+ * allowance.
  *
- * Invariants: nothing is granted after the lease; each grant is part of what every version of the
- * record lists or allows that may be the newest; no grant is answered that a standby which some
- * version may name lacks.
+ * Invariants: nothing is granted after the lease ends; each grant is covered by what is listed or
+ * allowed in every version of the record that may be the newest; no response is sent for a grant
+ * that is missing at a standby which some version may name.
  *
- * When the store has returned older, a leader whose lease lasts writes its part again and goes on:
- * nobody else can have led then. One that has lost its standby since can't know that, and ends.
+ * When the store was restored from an older copy, a leader whose lease is valid writes its part
+ * again and continues, since no other node can have led in the meantime. A leader that has lost its
+ * standby since then can't know that, and stops.
  *
- * A deputy grants in the same way within its own part of the record (see `RecordParts`), without a
- * standby: if it dies, its part ends with its lease.
+ * A deputy grants in the same way within its own part of the record (see `RecordParts`), but
+ * without a standby: when it fails, its part expires with its lease.
  */
 class ShardLeader {
 public:
     /**
-     * A leader.
-     * @param parts of the record as this node wrote it, or of a former writing of its own that is
-     * in force.
-     * @param leaseUntil until when it may grant.
-     * @param ledgers what counts already.
+     * Creates a leader.
+     * @param parts of the record as this node wrote it, or of one of its earlier writes that is in
+     * force.
+     * @param leaseUntil end of the lease, after which the leader may not grant.
+     * @param ledgers units that count already.
      */
     ShardLeader(const ShardContext& context, RecordParts parts, TimePoint leaseUntil,
                 ShardLedgers ledgers);
 
     /**
-     * A deputy, which grants once it has written its part.
-     * @param parts of the record as it was read. A part of this life of the node has to be empty.
+     * Creates a deputy, which grants once it has written its part.
+     * @param parts of the record as it was read. A part of this incarnation of the node has to be
+     * empty.
      */
     ShardLeader(const ShardContext& context, RecordParts parts);
 
-    /** The reply comes within the time for which questions are held. */
+    /** Handles a request. The response is sent within the queueing timeout of requests. */
     void ask(const QuotaQuestion& question, QuotaReply reply);
 
     void onTick(TimePoint now);
     TimePoint nextTick() const;
 
-    /** @return whether the store has returned older since this node wrote or read the record. */
+    /** @return whether the store was restored from an older copy since this node wrote or read the
+     * record. */
     bool isOutdated() const;
-    /** Ends at once, and writes nothing. */
+    /** Stops at once without writing the record. */
     void abandon();
 
-    /** @return whether another node leads, or this one has stopped as planned. */
+    /** @return whether another node leads or this node has shut down as planned. */
     bool hasEnded() const { return _ended; }
 
-    /** Questions that nobody answered here. */
+    /** Removes and returns the queued requests that were not answered here. */
     std::deque<HeldQuestion> takeHeld() { return _held.takeAll(); }
 
-    /** A deputy grants no more, and writes so into its part. */
+    /** Makes a deputy stop granting and record that in its part. */
     void withdraw();
-    /** A deputy that has withdrawn writes itself an allowance again. */
+    /** Makes a withdrawn deputy write itself an allowance again. */
     void resume();
     bool hasWithdrawn() const { return _withdrawn; }
-    /** @return whether nothing is left to write or to count. */
+    /** @return whether nothing is left to write and no unit counts any more. */
     bool countsNothing(TimePoint now);
 
-    /** @return the newest version of the record that is known. */
+    /** @return the parts of the newest known version of the record. */
     const RecordParts& parts() const { return _parts; }
 
-    /** Grants no more; the standby, or whoever reads the record, may lead at once. */
+    /** Stops granting. The standby, or any node that reads the record, may take over at once. */
     void release();
 
 private:
     enum class StandbyState {
         None,
-        Copying,    /**< All batches are on their way to it; no version of the record names it. */
-        CatchingUp, /**< As before, but grants wait for it already. */
-        Joining,    /**< A version of the record that names it may be in force. */
-        InSync,     /**< The record names it. */
-        Leaving,    /**< It may lack a batch, and the record may still name it. */
+        Copying,    /**< All batches are being sent; no version of the record names the standby. */
+        CatchingUp, /**< As Copying, but grants already wait for acknowledgements. */
+        Joining,    /**< A version of the record that names the standby may be in force. */
+        InSync,     /**< The record names the standby. */
+        Leaving,    /**< The standby may lack a batch, and the record may still name it. */
     };
-    /** Units that a question gets now, and what of it is put off. */
+    /** Units that a request gets now, and units that are deferred. */
     struct RankedGrant {
         std::uint32_t units = 0;
-        /** Empty where the question names no ranks. */
+        /** Empty where the request names no ranks. */
         std::vector<std::uint32_t> byRank;
         std::vector<RankedWish> putOff;
     };
@@ -159,8 +163,8 @@
     const ShardContext& _context;
     ShardRole _role;
     RecordParts _parts;
-    /** Names this holder's batches; 0 until it has written the record itself: then nothing is
-     * granted. */
+    /** Identifies this holder's batches. It is 0 until this node has written the record itself, and
+     * nothing is granted before. */
     std::uint64_t _term;
     TimePoint _leaseUntil;
     ShardLedgers _ledgers;
@@ -172,30 +176,32 @@
     RecordAllowances _allowances;
     /** A tenant has used up most of its allowance. */
     bool _needsAllowance = false;
-    /** While deputies have parts, the record is not rewritten for more allowance before this. */
+    /** While deputies have parts, the record is not rewritten for a larger allowance before this
+     * time. */
     TimePoint _nextAllowanceAt{};
     bool _withdrawn = false;
 
     StandbyState _standbyState = StandbyState::None;
     NodeLife _standby;
-    /** The standby that acknowledges nothing more: probably it leads. */
+    /** The former standby that refused an update, which means that it probably leads. */
     NodeName _successor;
-    /** Names this copy among all of this life of the node. */
+    /** Number of this copy among all copies of this incarnation of the node. */
     std::uint64_t _copy = 0;
     std::uint64_t _lastUpdate = 0;
     std::uint64_t _acknowledgedUpdate = 0;
-    /** Grants up to this update were answered without waiting for the standby. */
+    /** Grants up to this update were confirmed to their requesters without waiting for the
+     * standby's acknowledgement. */
     std::uint64_t _mustCatchUpTo = 0;
     std::map<std::uint64_t, UnacknowledgedGrant> _unacknowledged;
-    /** Nodes that could not be copied to, and since when. */
+    /** Nodes to which replication failed, and when it failed. */
     std::map<NodeName, TimePoint> _failedStandbys;
     TimePoint _nextStandby{};
 
     bool _calling = false;
     bool _mustReload = false;
-    /** The record was read, and is to be written as this node has it. */
+    /** The record was read, and this node's own state must be written to it. */
     bool _mustRenew = false;
-    /** After calls of the store that failed. */
+    /** Current backoff after failed store calls. */
     Duration _pause{0};
     TimePoint _notBefore{};
     TimePoint _savedAt{};
--- a/src/tenancy/ShardLeaderParts.cpp
+++ b/src/tenancy/ShardLeaderParts.cpp
@@ -1,4 +1,5 @@
-/** How the leader of a shard, or a deputy, writes its own part of the record beside others. */
+/** How the leader of a shard, or a deputy, writes its own part of the record beside the parts of
+ * others. */
 #include <algorithm>
 #include <utility>
 
@@ -26,18 +27,19 @@
     return part == nullptr ? kNone : part->tenants;
 }
 
-/** @return this node's part of the newest known version. */
+/** @return this node's part in the newest known version. */
 const RecordedQuotas& ShardLeader::ownQuotas() const {
     return ownQuotasOf(_parts.record());
 }
 
-/** @return what others have of the tenant's bound by the newest known version. */
+/** @return units of the tenant's bound that others have in the newest known version. */
 ForeignUnits ShardLeader::foreignUnits(const TenantName& tenant, TimePoint now) const {
     return _role == ShardRole::Leader ? _parts.besidesLeader(tenant, now)
                                       : _parts.besidesDeputy(_context.self, tenant, now);
 }
 
-/** @return whether the part allows the tenant what it can for now. */
+/** @return whether the tenant has the allowance that this node's part can give it for now: the part
+ * names the tenant and may not yet be rewritten for a larger allowance. */
 bool ShardLeader::hasOwnAllowance(const TenantName& tenant, TimePoint now) const {
     return !_calling && now < _nextAllowanceAt && ownQuotas().contains(tenant);
 }
@@ -46,14 +48,14 @@
     return _needsAllowance && !_withdrawn && now >= _nextAllowanceAt;
 }
 
-/** @return whether a version of the record that is in force lets this deputy grant. */
+/** @return whether the record in force lets this deputy grant. */
 bool ShardLeader::hasPart() const {
     const DeputyPart* part = findPart(_parts.record().deputies, _context.self);
     return _role == ShardRole::Deputy && part != nullptr && part->grants;
 }
 
-/** @return whether another deputy has come first that serves whoever reaches this one: two parts on
- * one side of a cut leave both of them too little. */
+/** @return whether another reachable deputy wrote its part first and serves the nodes that reach
+ * this one. Two parts in one partition would leave each of them too little. */
 bool ShardLeader::isSecondDeputy() const {
     const TimePoint now = _context.clock.now();
     const std::vector<DeputyPart>& deputies = _parts.record().deputies;
--- a/src/tenancy/ShardLeaderRecord.cpp
+++ b/src/tenancy/ShardLeaderRecord.cpp
@@ -1,5 +1,5 @@
-/** When and how the leader of a shard, or a deputy, writes the record, also after the store has
- * returned older. */
+/** When and how the leader of a shard, or a deputy, writes the record, including after the store
+ * was restored from an older copy. */
 #include <algorithm>
 #include <utility>
 
@@ -12,17 +12,18 @@
 
 using std::chrono::milliseconds;
 
-/** The record is written anew after this time, so that an outage of the store finds two thirds of
- * the lease left. */
+/** Interval between renewals of the record. Two thirds of the lease are left when a store outage
+ * begins. */
 constexpr Duration kRenewEvery = std::chrono::seconds(2);
-/** A shard that nobody asks is not renewed. */
+/** A shard without requests for this time is not renewed. */
 constexpr Duration kIdleAfter = std::chrono::seconds(10);
-/** Pauses after calls of the store that failed: each is doubled. All shards' leaders retry, and the
- * store counts the calls that it refuses. */
+/** Range of the backoff after failed store calls, which doubles after each failure. The leaders of
+ * all shards retry, and the store also counts the calls that it refuses. */
 constexpr Duration kFirstPause = milliseconds(100);
 constexpr Duration kLongestPause = milliseconds(800);
-/** Beside deputies, and for these, the record is not written anew for allowances more often: units
- * of all parts age out at the pace of the quota, so in a flood each finds a little only. */
+/** Shortest interval between rewrites of the record for a larger allowance, for deputies and for a
+ * leader beside deputies. Counted units of all parts expire at the rate of the quota, so each
+ * rewrite under a flood of requests finds only a few free units. */
 constexpr Duration kSharedPause = milliseconds(250);
 
 }  // namespace
@@ -83,7 +84,7 @@
     onTick(now);
 }
 
-/** The record is in force as this node wrote it. */
+/** Called when the record is in force as this node wrote it. */
 void ShardLeader::takeRecord(const QuotaShardRecord& record, TimePoint sentAt) {
     _parts.onKnown(record, _context.clock.now());
     _term = _term == 0 ? record.version.token() : _term;
@@ -123,7 +124,7 @@
                         });
 }
 
-/** A writing that was not answered may have been done, or another node leads. */
+/** A write of unknown outcome may have been applied, or another node may lead. */
 void ShardLeader::onLoaded(const LoadedShard& loaded) {
     if (_ended || loaded.outcome != StoreOutcome::Done) {
         return;
@@ -140,7 +141,8 @@
         end();
         return;
     }
-    // The content of a late writing of its own is replaced by the next one, whatever it says.
+    // If a delayed write of this node is in force, the next write replaces its content, whatever it
+    // is.
     _mustReload = false;
     if (_role == ShardRole::Deputy && (!_parts.mayJoin(_context.self) || isSecondDeputy())) {
         withdraw();
@@ -156,8 +158,9 @@
 }
 
 /**
- * The leader's part goes on as this node wrote it last, under the version that the store has
- * returned to. @return whether nobody else can lead.
+ * Keeps the leader's part as this node wrote it last, under the version to which the store was
+ * restored.
+ * @return whether no other node can lead.
  */
 bool ShardLeader::takeOver(const QuotaShardRecord& returned) {
     const bool isOfOther =
--- a/src/tenancy/ShardLeaderStandby.cpp
+++ b/src/tenancy/ShardLeaderStandby.cpp
@@ -1,4 +1,5 @@
-/** How the leader of a shard chooses, feeds, gives up and is followed by its standby. */
+/** How the leader of a shard chooses its standby, replicates to it, drops it, and hands over to it.
+ */
 #include <algorithm>
 #include <utility>
 
@@ -10,13 +11,14 @@
 
 using std::chrono::milliseconds;
 
-/** A node that could not be copied to is left alone for so long. */
+/** Time for which a node is not chosen as standby after replication to it has failed. */
 constexpr Duration kStandbyPause = std::chrono::seconds(2);
-/** A leader that could not write the record for so long offers the lead to its standby, and again
- * after the second time: half of the lease is left to find one that can. */
+/** A leader that could not write the record for kOfferAfter offers leadership to its standby, and
+ * repeats the offer every kOfferEvery. Half of the lease is then left to find a node that can write
+ * the record. */
 constexpr Duration kOfferAfter = std::chrono::seconds(3);
 constexpr Duration kOfferEvery = milliseconds(500);
-/** Without a node to copy to, one is looked for again after this time. */
+/** Interval between attempts to find a standby while there is none. */
 constexpr Duration kStandbyRetry = milliseconds(500);
 
 }  // namespace
@@ -74,7 +76,7 @@
 void ShardLeader::onAck(std::uint64_t copy, std::uint64_t update,
                         const std::optional<LedgerAck>& ack) {
     if (_ended || copy != _copy) {
-        // Of a copy that was given up.
+        // The acknowledgement belongs to a copy that was dropped.
         return;
     }
     if (!ack || !ack->accepted) {
@@ -96,12 +98,14 @@
     }
 }
 
-/** @return whether the record may name the standby: it has every grant that was answered. */
+/** @return whether the record may name the standby, because it has every grant that was sent in a
+ * response. */
 bool ShardLeader::isCaughtUp() const {
     return _standbyState == StandbyState::CatchingUp && _acknowledgedUpdate >= _mustCatchUpTo;
 }
 
-/** Grants stop until the record names the standby no more, since it may lead by now. */
+/** Drops the standby. A standby that the record may name might lead by now, so grants stop until
+ * the record no longer names it. */
 void ShardLeader::loseStandby() {
     if (_standbyState == StandbyState::None || _standbyState == StandbyState::Leaving) {
         return;
@@ -111,11 +115,12 @@
     LogEvent("tenancy", LogLevel::Info, "quota.standby_lost")
         .field("shard", _context.shard)
         .field("standby", _standby.node);
-    // A copy that no version of the record has named can be left behind at once.
+    // A standby that no version of the record has named can't take over, so its copy can be dropped
+    // at once.
     const bool isNamed =
         _standbyState == StandbyState::Joining || _standbyState == StandbyState::InSync;
     if (isNamed && mayLackGrants(_context)) {
-        // It may lead under a claim that the store has lost.
+        // The standby may lead under a claim that the store has lost.
         abandon();
         return;
     }
@@ -129,20 +134,24 @@
     onTick(_context.clock.now());
 }
 
-/** No standby can lead any more, so what it lacks may be answered. */
+/** Sends the responses that waited for an acknowledgement. No standby can take over any more, so no
+ * standby has to hold these grants. */
 void ShardLeader::answerUnacknowledged() {
     for (auto& [number, grant] : std::exchange(_unacknowledged, {})) {
         grant.reply(grant.answer);
     }
 }
 
-/** @return whether the standby, which may reach the store where this node does not, should lead. */
+/** @return whether to offer leadership to the standby, which may reach the store while this node
+ * does not. */
 bool ShardLeader::wantsToOffer(TimePoint now) const {
     return _standbyState == StandbyState::InSync && now - _savedAt >= kOfferAfter &&
            now - _offeredAt >= kOfferEvery && !isIdle(now);
 }
 
-/** This node goes on for as long as it may: the standby stops to acknowledge its grants first. */
+/** Offers leadership to the standby. This node continues to grant for as long as its lease lasts
+ * and the standby acknowledges grants, because the standby stops acknowledging them before it takes
+ * over. */
 void ShardLeader::offerLead(TimePoint now) {
     _offeredAt = now;
     LedgerUpdate update;
--- a/tests/tenancy/InstantShardStore.h
+++ b/tests/tenancy/InstantShardStore.h
@@ -1,4 +1,4 @@
-/** A store of shard records that answers at once. */
+/** In-memory store of shard records that calls back synchronously. */
 #pragma once
 
 #include <functional>
@@ -8,7 +8,7 @@
 
 namespace coralhoist::tenancy {
 
-/** Each record has a version that grows with every writing. */
+/** Each write gives the record a new, higher version. */
 class InstantShardStore final : public QuotaShardStore {
 public:
     void load(std::uint32_t shard, std::function<void(const LoadedShard&)> callback) override {
@@ -30,7 +30,7 @@
         }
     }
 
-    /** How each call ends. */
+    /** Outcome of each call. */
     StoreOutcome outcome = StoreOutcome::Done;
     std::map<std::uint32_t, QuotaShardRecord> records;
     std::uint64_t version = 0;
--- a/tests/tenancy/QuotaDeputyTest.cpp
+++ b/tests/tenancy/QuotaDeputyTest.cpp
@@ -1,8 +1,9 @@
 /**
- * A tenant's quota on the sides of a cut that all reach the store: the bound holds in every window,
- * and who is within its limit is served on each side.
+ * Tests a tenant's quota in network partitions that all reach the store: the bound holds in every
+ * window, and a tenant within its limit is served in each partition.
  *
- * CORALHOIST_QUOTA_SEEDS sets how many seeds are played, CORALHOIST_QUOTA_FIRST_SEED the first one.
+ * CORALHOIST_QUOTA_SEEDS sets the number of seeds to run, CORALHOIST_QUOTA_FIRST_SEED the first
+ * seed.
  */
 #include <CppUTest/TestHarness.h>
 
@@ -23,10 +24,11 @@
 constexpr unsigned kBoundSeeds = 600;
 constexpr unsigned kServedSeeds = 60;
 constexpr milliseconds kFaultsFor{24000};
-/** Units that were granted before a limit was lowered run no longer. */
+/** Time for which units may run on that were granted before a limit was lowered. */
 constexpr Duration kRunsOn = kLongestQuotaLease;
-/** Part of its statements that a tenant within its limit may lose on a side that reaches the store,
- * once contact has lasted a second. */
+/** Largest share of its statements that a tenant within its limit may have refused in a partition
+ * that reaches the store, measured from one second after the nodes were partitioned or reconnected.
+ */
 constexpr double kMostRefused = 0.02;
 
 unsigned fromEnvironment(const char* name, unsigned otherwise) {
@@ -34,7 +36,8 @@
     return text == nullptr ? otherwise : static_cast<unsigned>(std::strtoul(text, nullptr, 10));
 }
 
-/** Cuts into sides beside faults of their leaders, deputies, links and the store. */
+/** A run with network partitions and additional faults of leaders, deputies, connections and the
+ * store. */
 class CutRun {
 public:
     explicit CutRun(unsigned seed)
@@ -44,7 +47,7 @@
           network(_nodes, _quota, kTerms, seed),
           faults(network, _nodes, _random) {}
 
-    /** @return what was broken; empty when the bound held. */
+    /** @return a description of the violation; empty when the bound held. */
     std::string play() {
         const std::size_t highBound = kTerms.bound(_quota);
         const milliseconds lowersAt(_random() % kFaultsFor.count());
@@ -116,12 +119,12 @@
         counted.grantedAsDeputy += run.network.statistics().grantedAsDeputy;
     }
     STRCMP_EQUAL("", broken.c_str());
-    // The runs are of use only where deputies grant.
+    // The runs test deputies only if deputies grant units.
     CHECK_TRUE(counted.deputized > seeds);
     CHECK_TRUE(counted.grantedAsDeputy > std::uint64_t{20} * seeds);
 }
 
-/** What was judged at the nodes of one side. */
+/** Admission decisions at the nodes of one partition. */
 struct Served {
     std::size_t ran = 0;
     std::size_t refused = 0;
@@ -131,7 +134,7 @@
     }
 };
 
-/** Nodes that are cut into two halves, each of which reaches the store. */
+/** Nodes that are partitioned into two halves, each of which reaches the store. */
 class TwoHalves {
 public:
     TwoHalves(unsigned seed, double loadShare) : _random(seed), _loadShare(loadShare) {
@@ -159,7 +162,7 @@
 
     void heal() { network.cutFromEachOther({}); }
 
-    /** @return counters of the half with the leader, or of the other one. */
+    /** @return counters of the half with the leader, or of the other half. */
     Served judged(bool ofLeader) const {
         Served served;
         for (std::size_t node = 0; node < kNodes; ++node) {
@@ -171,7 +174,7 @@
         return served;
     }
 
-    /** Plays, and adds what was judged meanwhile. */
+    /** Runs the simulation and adds the decisions made during the run. */
     void play(Duration duration, Served& withLeader, Served& without) {
         const Served leaderBefore = judged(true);
         const Served otherBefore = judged(false);
@@ -202,7 +205,7 @@
     bool _leadsFirst = false;
 };
 
-/** @return the parts that are refused, as text, where one is too large. */
+/** @return the refused shares as text if one of them is too large; otherwise an empty text. */
 std::string refusedBeyond(double most, double loadShare) {
     Served leader;
     Served other;
--- a/tests/tenancy/QuotaStoreReturnTest.cpp
+++ b/tests/tenancy/QuotaStoreReturnTest.cpp
@@ -1,4 +1,4 @@
-/** A shard's record around a return of the store from an older copy. */
+/** Tests of a shard's record when the store is restored from an older copy. */
 #include <CppUTest/TestHarness.h>
 
 #include <numeric>
@@ -12,7 +12,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** A shard whose store shows eras and returns from older copies. */
+/** A shard whose store shows eras and can be restored from older copies. */
 class ReturnFixture : public ShardFixture {
 public:
     static LoadedShard inEra(LoadedShard loaded, std::uint64_t shownIn, std::uint64_t writtenIn) {
@@ -32,7 +32,7 @@
         UNSIGNED_LONGS_EQUAL(1, answers.size());
     }
 
-    /** The store returns older, and shows the leader what it has lost. */
+    /** Restores the store from an older copy and shows the leader the restored record. */
     void returnOlder(const LoadedShard& shown) {
         era.note(2, "store");
         clock.advance(milliseconds(10));
@@ -40,7 +40,7 @@
         store.finishLoad(shown);
     }
 
-    /** @return whether the node has written the record since then. */
+    /** @return whether the node has written the record since the restore. */
     bool claims(const LoadedShard& loaded) {
         const std::size_t before = store.saved.size();
         ask(1);
@@ -50,7 +50,7 @@
         return store.saved.size() > before;
     }
 
-    /** This node has a copy of what "n2/1" has granted. */
+    /** Gives this node a copy of the grants of "n2/1". */
     void takeCopy() {
         LedgerUpdate update;
         update.leaderLife = "n2/1";
@@ -99,7 +99,7 @@
     CHECK_FALSE(shard->leads());
 }
 
-/** Holders of lost parts may have what the leader's own part left. */
+/** Holders of lost parts may have the units that the leader's own part left. */
 TEST(QuotaShardReturn, ALeaderAllowsItselfNoMoreThanItsPartWas) {
     leadInFirstEra();
     const RecordedQuota part = store.saved.back().tenants.at(kShardTenant);
@@ -132,7 +132,8 @@
     CHECK_TRUE(claims(nobody));
 }
 
-/** A node that starts sees by the era of the record that the store has returned. */
+/** A starting node detects by the era of the record that the store was restored from an older copy.
+ */
 TEST(QuotaShardReturn, AFormerLifeIsNotFollowedAtOnceWhenItsRecordIsOfAnEarlierEra) {
     era.note(2, "store");
     era.noteWritten(1);
@@ -151,7 +152,7 @@
     CHECK_TRUE(claims(inEra(loadedRecord("n2/1", "n1/1", 8), 2, 2)));
 }
 
-/** Deputies may have granted by parts that the store has lost. */
+/** Deputies may have granted under parts that the store has lost. */
 TEST(QuotaShardReturn, AStandbyThatLeadsAllowsItselfNoMoreThanTheLeadersPartWas) {
     era.note(1, "store");
     takeCopy();
@@ -174,7 +175,7 @@
     UNSIGNED_LONGS_EQUAL(0, store.saved.size());
 }
 
-/** The part that it grants by is lost. */
+/** The part under which the deputy grants is lost. */
 TEST(QuotaShardReturn, ADeputyGrantsNothingMore) {
     era.note(1, "store");
     sent.reachable = false;
@@ -190,7 +191,7 @@
     UNSIGNED_LONGS_EQUAL(1, granted());
 }
 
-/** The older copy has the claim, and may lack later ones of others. */
+/** The older copy contains the claim, and may lack later claims of other nodes. */
 TEST(QuotaShardReturn, AClaimOfAnEarlierEraIsNotFoundDone) {
     era.note(1, "store");
     ask(1);
@@ -204,8 +205,8 @@
     CHECK_FALSE(shard->leads());
 }
 
-/** Nodes, links and the leader are well; the store is away for less time than after which a leader
- * offers the lead to its standby. */
+/** Nodes, connections and the leader work. The store is unavailable for less time than after which
+ * a leader offers leadership to its standby. */
 TEST(QuotaShardReturn, ATenantBelowItsQuotaIsServedThroughReturnsOfTheStore) {
     constexpr std::size_t kNodes = 12;
     constexpr int kStatementEveryMs = 67;
--- a/tests/tenancy/RecordPartsTest.cpp
+++ b/tests/tenancy/RecordPartsTest.cpp
@@ -58,7 +58,7 @@
     CHECK_FALSE(record.deputies.at(0).grants);
     UNSIGNED_LONGS_EQUAL(0, record.deputies[0].tenants.at(kTenant).allowance);
     UNSIGNED_LONGS_EQUAL(20, sumOf(record.deputies[0].tenants.at(kTenant).counting));
-    // The newest unit may run for 2 s and counts for a window after.
+    // The newest unit may run for 2 s and counts for one more window.
     parts.onKnown(record, lapsed);
     const TimePoint end = lapsed + kLongestQuotaLease + kWindow;
     UNSIGNED_LONGS_EQUAL(20, parts.besidesLeader(kTenant, end).all());
--- a/tests/tenancy/ShardFixture.h
+++ b/tests/tenancy/ShardFixture.h
@@ -1,4 +1,5 @@
-/** A shard of tenants on one node, whose store and links a test plays by hand. */
+/** Fixture for a shard of tenants on one node, whose store and connections are controlled by the
+ * test. */
 #pragma once
 
 #include <CppUTest/TestHarness.h>
@@ -19,7 +20,7 @@
 inline const TenantName kShardTenant{"t"};
 inline const TenantQuota kShardQuota{25, 25};
 
-/** A store that answers when the test lets it. */
+/** Store that completes its calls when the test says so. */
 class HeldStore final : public QuotaShardStore {
 public:
     void load(std::uint32_t /*shard*/, std::function<void(const LoadedShard&)> callback) override {
@@ -44,7 +45,7 @@
     std::vector<QuotaShardRecord> saved;
 };
 
-/** Remembers what is sent to other nodes. */
+/** Records the messages to other nodes. */
 class SentQuestions final : public QuotaQuestions {
 public:
     bool canReach(const NodeName& /*node*/) const override { return reachable; }
@@ -65,7 +66,7 @@
     std::uint64_t lastNumber = 0;
 };
 
-/** One shard of the tenant "t" on the node "n1", whose store and links the test plays. */
+/** The shard of tenant "t" on node "n1", whose store and connections are controlled by the test. */
 class ShardFixture : public Utest {
 public:
     testing::ManualClock clock;
@@ -119,7 +120,7 @@
         return loaded;
     }
 
-    /** A record in which no more deputies find room, so that each writing is a claim. */
+    /** A record without room for another deputy, so that each write is a claim. */
     static LoadedShard crowdedRecord(const char* leader, std::uint64_t version) {
         LoadedShard loaded = loadedRecord(leader, "", version);
         for (const char* name : {"n7", "n8", "n9"}) {
--- a/tests/tenancy/ShardLeaderTest.cpp
+++ b/tests/tenancy/ShardLeaderTest.cpp
@@ -70,7 +70,7 @@
     store.finishLoad(none);
     clock.advance(milliseconds(600));
     store.finishSave({StoreOutcome::Done, {0, 11}});
-    // The renewal is not answered: the lease of 6 s began 0.6 s before the first answer.
+    // The renewal gets no response. The lease of 6 s began 0.6 s before the first response.
     clock.advance(milliseconds(5399));
     ask(1);
     LONGS_EQUAL(2, answers.size());
@@ -115,7 +115,7 @@
     ask(1);
     store.finishLoad(loadedRecord("n1/0", "", 7));
     store.finishSave({StoreOutcome::Done, {0, 8}});
-    // 185 allowed; 40 counted for a second at most, 30 were allowed besides.
+    // Of a bound of 185, 40 units count for a second at most, and 30 more were allowed.
     std::uint32_t granted = answers.back().granted;
     while (answers.back().granted > 0) {
         ask(100);
@@ -131,8 +131,8 @@
 TEST(QuotaShard, AGrantIsAnsweredOnceTheStandbyHasIt) {
     peers.push_back({NodeName("n2"), ZoneName("z"), "h", 1});
     lead();
-    // The first grant was answered while the copy is on its way, so it must arrive before the
-    // naming.
+    // The first grant was confirmed while the copy was still being sent, so it must arrive before
+    // the record names the standby.
     LONGS_EQUAL(2, sent.updates.size());
     CHECK_TRUE(sent.updates[0].whole);
     LONGS_EQUAL(1, store.saved.size());
@@ -177,7 +177,7 @@
     ask(1, true);
     store.finishLoad(loadedRecord("n2/1", "n1/1", 7));
     LONGS_EQUAL(1, store.saves.size());
-    // From here on it acknowledges nothing more.
+    // From now on the standby acknowledges no updates.
     update.whole = false;
     update.sequence = 2;
     CHECK_FALSE(shard->takeUpdate(update).accepted);
@@ -213,13 +213,13 @@
     CHECK_TRUE(answers.size() == 1 || answers.back().declined);
 }
 
-/** @return units that the deputy's part allows, the only one of the record. */
+/** @return units that the part of the record's only deputy allows. */
 std::uint32_t allowedToDeputy(const QuotaShardRecord& record) {
     return record.deputies.at(0).tenants.at(kTenant).allowance;
 }
 
 TEST_GROUP_BASE(QuotaShardDeputy, ShardFixture){
-    /** This node is cut off and has written its part, which is not answered yet. */
+    /** Cuts this node off and makes it write its part; the write has not completed yet. */
     void askToBeDeputy(){sent.reachable = false;
 ask(1);
 store.finishLoad(loadedRecord("n2/1", "n3/1", 7));
@@ -227,7 +227,7 @@
 shard->onTick(clock.now());
 }  // namespace
 
-/** @return units granted of many questions. */
+/** @return total units granted in response to many requests. */
 std::uint32_t granted() const {
     std::uint32_t units = 0;
     for (const QuotaAnswer& answer : answers) {
@@ -244,7 +244,7 @@
     UNSIGNED_LONGS_EQUAL(7, written.version.revision);
     CHECK_TRUE(written.leader == (NodeLife{NodeName("n2"), "n2/1"}));
     CHECK_TRUE(written.tenants == loadedRecord("n2/1", "n3/1", 7).record.tenants);
-    // No later writing of this life is taken for this one.
+    // No later write of this incarnation can be mistaken for this one.
     UNSIGNED_LONGS_EQUAL(7, written.deputies.at(0).replacedVersion);
     // A quarter of the bound beside a leader that has 40 + 30 units of 185.
     UNSIGNED_LONGS_EQUAL(46, allowedToDeputy(written));
@@ -254,15 +254,16 @@
     UNSIGNED_LONGS_EQUAL(1, statistics.grantedAsDeputy);
 }
 
-/** A claim whose answer was lost is found done by reading. When a deputy has written its part on
- * top by then, the version that is read names the deputy's batches: settled ones must not shrink
- * those of the leader. */
+/** A claim whose response was lost is discovered by reading the record. If a deputy has written its
+ * part in between, the token of the version that is read identifies the deputy's batches.
+ * Settlements of those must not shrink the leader's batches. */
 TEST(QuotaShard, AClaimThatIsFoundDoneUnderADeputysWritingHasATermOfItsOwn) {
     ask(1);
     LoadedShard none;
     none.outcome = StoreOutcome::Done;
     store.finishLoad(none);
-    // Done as version 11, but not answered; then a deputy writes its part, as version 12.
+    // The claim is applied as version 11, but its response is lost. Then a deputy writes its part
+    // as version 12.
     store.finishSave({StoreOutcome::Unknown, {}});
     LoadedShard loaded;
     loaded.outcome = StoreOutcome::Done;
@@ -299,7 +300,7 @@
     none.outcome = StoreOutcome::Done;
     store.finishLoad(none);
     store.finishSave({StoreOutcome::Unknown, {}});
-    // Another node's claim was done: this one's can be no more.
+    // Another node's claim was applied, so this node's claim can't be applied any more.
     sent.reachable = false;
     store.finishLoad(loadedRecord("n2/1", "n3/1", 7));
     for (int times = 0; times < 20; ++times) {
@@ -313,7 +314,7 @@
     LONGS_EQUAL(2, store.saved.size());
 }
 
-/** @return a record that another deputy has joined meanwhile. */
+/** @return a record that another deputy has joined in the meantime. */
 LoadedShard recordWithDeputy() {
     LoadedShard loaded = ShardFixture::loadedRecord("n2/1", "n3/1", 8);
     loaded.record.deputies.push_back({{NodeName("n4"), "n4/1"}, true, 7, recordAllowing(46)});
@@ -335,7 +336,7 @@
     LONGS_EQUAL(2, store.saved.size());
 }
 
-/** A part that was written before the tenant asked is written anew at once. */
+/** A part that was written before the tenant's first request is rewritten at once. */
 TEST(QuotaShardDeputy, ATenantsFirstAllowanceWaitsForNoPause) {
     sent.reachable = false;
     ask(0);
@@ -417,7 +418,7 @@
     store.finishLoad(done);
     store.finishSave({StoreOutcome::Done, {0, 9}});
     CHECK_TRUE(store.saved.back().deputies == former.record.deputies);
-    // 40 + 30 of the former life and 100 of the deputy leave 15 of 185.
+    // 40 + 30 units of the previous incarnation and 100 of the deputy leave 15 of 185.
     CHECK_TRUE(store.saved.back().tenants.at(kTenant).allowance <= 15);
 }
 
--- a/tests/tenancy/SimulatedShardStore.cpp
+++ b/tests/tenancy/SimulatedShardStore.cpp
@@ -5,7 +5,7 @@
 namespace coralhoist::tenancy {
 namespace {
 
-/** A call without an answer is given up after this time. */
+/** Timeout of a call that gets no response. */
 constexpr Duration kTimeout = std::chrono::milliseconds(700);
 
 }  // namespace
@@ -50,13 +50,14 @@
 
 SavedShard SimulatedShardStore::apply(std::uint32_t shard, const QuotaShardRecord& record) {
     QuotaShardRecord stored = this->record(shard);
-    // The store knows no era of whoever writes: a revision that was given out again fits.
+    // The store compares revisions only and does not know the writer's era, so a revision that was
+    // assigned again matches.
     if (stored.version.revision != record.version.revision) {
         return {StoreOutcome::Conflict, {_era, 0}};
     }
     const bool isOfThisEra = record.version.era == _era;
     stored.version = record.version;
-    // A writing of the same content is no change.
+    // A write of identical content is no change.
     if (stored != record) {
         _state.records[shard] = record;
         _state.records[shard].version.revision = ++_state.revision;
--- a/tests/tenancy/SimulatedShardStore.h
+++ b/tests/tenancy/SimulatedShardStore.h
@@ -1,4 +1,4 @@
-/** The platform's store of shard records, with faults, in simulated time. */
+/** Simulation of the platform's store of shard records, with faults, in simulated time. */
 #pragma once
 
 #include <functional>
@@ -11,17 +11,18 @@
 
 namespace coralhoist::tenancy {
 
-/** Faults of the store. */
+/** Injected faults of the store. */
 struct ShardStoreFaults {
     bool down = false;
     Duration latency = std::chrono::milliseconds(4);
-    /** Share of writes that are not answered. */
+    /** Share of writes that get no response. */
     double answersLost = 0;
-    /** Such writes are done up to so much later, if their condition still holds. */
+    /** Longest delay after which a write without a response is applied, if its condition still
+     * holds. */
     Duration latest{0};
 };
 
-/** The store. Calls of a node that is cut off are not carried out. */
+/** The simulated store. Calls of a node that is cut off are not carried out. */
 class SimulatedShardStore {
 public:
     SimulatedShardStore(const testing::ManualClock& clock, unsigned seed)
@@ -36,25 +37,26 @@
     void save(std::size_t node, std::uint32_t shard, const QuotaShardRecord& record,
               std::function<void(const SavedShard&)> callback);
 
-    /** The store comes back from a copy of that age: later changes are gone, and their versions are
-     * given out again. */
+    /** Restores the store from a copy of the given age. Later changes are lost, and their versions
+     * are assigned again. */
     void returnOlder(Duration age);
 
-    /** From now on answers show the era; a store that never returns older need not. */
+    /** Makes responses contain the era from now on. A store that is never restored from an older
+     * copy need not show it. */
     void showEras() { _era = kFirstEra; }
     std::uint64_t era() const { return _era; }
-    /** @return the era of the store's first life. */
+    /** @return the era of the store before its first restore, or 0 if eras are not shown. */
     std::uint64_t firstEra() const { return _era == 0 ? 0 : kFirstEra; }
 
-    /** Carries out what is due. */
+    /** Runs all events that are due. */
     void step();
 
-    /** @return calls that reached the store. */
+    /** @return number of calls that reached the store. */
     std::uint64_t calls() const { return _calls; }
 
 private:
     static constexpr std::uint64_t kFirstEra = 1;
-    /** All that a copy of the store holds. */
+    /** Content of the store and of its copies. */
     struct State {
         std::map<std::uint32_t, QuotaShardRecord> records;
         std::uint64_t revision = 10;
@@ -71,9 +73,9 @@
     ShardStoreFaults _faults;
     std::set<std::size_t> _cut;
     State _state;
-    /** The state after each change, by its time. */
+    /** State after each change, by the time of the change. */
     std::map<TimePoint, State> _copies;
-    /** 0: answers show none. */
+    /** 0 when responses show no era. */
     std::uint64_t _era = 0;
     std::uint64_t _calls = 0;
     std::multimap<TimePoint, std::function<void()>> _events;
