--- a/src/tenancy/HeldQuestions.cpp
+++ b/src/tenancy/QuotaRequestQueue.cpp
@@ -1,4 +1,4 @@
-#include "tenancy/HeldQuestions.h"
+#include "tenancy/QuotaRequestQueue.h"
 
 #include <utility>
 
--- a/src/tenancy/QuotaShard.h
+++ b/src/tenancy/QuotaShard.h
@@ -6,8 +6,8 @@
 #include <memory>
 #include <optional>
 
-#include "tenancy/HeldQuestions.h"
 #include "tenancy/LedgerCopy.h"
+#include "tenancy/QuotaRequestQueue.h"
 #include "tenancy/RecordParts.h"
 #include "tenancy/ShardContext.h"
 #include "tenancy/ShardLeader.h"
--- a/src/tenancy/ShardLeader.h
+++ b/src/tenancy/ShardLeader.h
@@ -8,8 +8,8 @@
 #include <optional>
 #include <vector>
 
-#include "tenancy/HeldQuestions.h"
 #include "tenancy/QuotaLedger.h"
+#include "tenancy/QuotaRequestQueue.h"
 #include "tenancy/RecordAllowances.h"
 #include "tenancy/ShardContext.h"
 #include "tenancy/UnitPacer.h"
