--- a/src/duty/pooling/PoolingMetrics.cpp
+++ b/src/duty/pooling/PoolingMetrics.cpp
@@ -195,7 +195,7 @@
     page.metric("counter", "quota_units_unused_total", "Granted units that were not used in time.",
                 quotas.unused);
     page.metric("counter", "quota_answers_late_total",
-                "Answers whose units could no longer be used.", quotas.lateAnswers);
+                "Answers whose units could no longer be used.", quotas.lateResponses);
     page.metric("counter", "quota_questions_granted_total",
                 "Questions that this node answered as leader.", quotas.granted);
     page.metric("counter", "quota_questions_relayed_total",
@@ -206,10 +206,10 @@
                  "Units that this node granted as leader, by rank.", quotas.grantedByRank);
     appendByRank(page, "quota_units_put_off_total",
                  "Units that this node put off to a later turn as leader, by rank.",
-                 quotas.putOffByRank);
+                 quotas.deferredByRank);
     appendByRank(page, "quota_units_turned_away_total",
                  "Units that this node did not grant as leader and gave no turn, by rank.",
-                 quotas.turnedAwayByRank);
+                 quotas.refusedByRank);
     appendByRank(page, "quota_turns_claimed_total",
                  "Units whose turn had come that this node was asked for as leader, by rank.",
                  quotas.turnsByRank);
--- a/src/link/forwarding/QuestionCodec.cpp
+++ b/src/link/forwarding/QuestionCodec.cpp
@@ -243,7 +243,7 @@
 }
 
 gen::QuotaRequest writeQuotaRequest(const UnitMessage& message) {
-    const tenancy::QuotaQuestion& question = message.quotaQuestion;
+    const tenancy::QuotaRequest& question = message.quotaQuestion;
     gen::QuotaRequest record;
     record.question = static_cast<std::int64_t>(message.question);
     record.tenantName = question.tenant.value();
@@ -273,7 +273,7 @@
     UnitMessage message;
     message.kind = UnitMessage::Kind::QuotaAsked;
     message.question = static_cast<std::uint64_t>(record.question);
-    tenancy::QuotaQuestion& question = message.quotaQuestion;
+    tenancy::QuotaRequest& question = message.quotaQuestion;
     question.tenant = TenantName(record.tenantName);
     question.wanted = static_cast<std::uint32_t>(record.wanted);
     question.usableFor = microseconds(record.usableForUs);
@@ -291,7 +291,7 @@
 }
 
 gen::QuotaReply writeQuotaReply(const UnitMessage& message) {
-    const tenancy::QuotaAnswer& answer = message.quotaAnswer;
+    const tenancy::QuotaResponse& answer = message.quotaAnswer;
     gen::QuotaReply record;
     record.question = static_cast<std::int64_t>(message.question);
     record.declined = answer.declined;
--- a/src/link/forwarding/UnitCodec.h
+++ b/src/link/forwarding/UnitCodec.h
@@ -49,8 +49,8 @@
     std::optional<pooling::HandedProof> proof;
     store::FeedQuestion feedQuestion;
     std::optional<store::FeedAnswer> feedAnswer;
-    tenancy::QuotaQuestion quotaQuestion;
-    tenancy::QuotaAnswer quotaAnswer;
+    tenancy::QuotaRequest quotaQuestion;
+    tenancy::QuotaResponse quotaAnswer;
     tenancy::LedgerUpdate ledgerUpdate;
     tenancy::LedgerAck ledgerAck;
     pooling::LoadReport loadReport;
--- a/src/link/forwarding/UnitLinkQuestions.cpp
+++ b/src/link/forwarding/UnitLinkQuestions.cpp
@@ -40,8 +40,8 @@
     send(link, message);
 }
 
-void UnitLinks::askForQuota(const NodeName& node, std::uint64_t question,
-                            const tenancy::QuotaQuestion& asked) {
+void UnitLinks::sendQuotaRequest(const NodeName& node, std::uint64_t question,
+                                 const tenancy::QuotaRequest& asked) {
     Link& link = connectedLink(node);
     noteWaiting(link);
     link.quotaQuestions.insert(question);
@@ -110,7 +110,7 @@
 void UnitLinks::onQuota(Link& link, const UnitMessage& message) {
     link.quotaQuestions.erase(message.question);
     if (_questionEvents.quotas != nullptr) {
-        _questionEvents.quotas->onQuotaAnswer(message.question, message.quotaAnswer);
+        _questionEvents.quotas->onQuotaResponse(message.question, message.quotaAnswer);
     }
 }
 
@@ -131,7 +131,7 @@
     }
     for (const std::uint64_t question : link.quotaQuestions) {
         if (_questionEvents.quotas != nullptr) {
-            _questionEvents.quotas->onQuotaAnswer(question, std::nullopt);
+            _questionEvents.quotas->onQuotaResponse(question, std::nullopt);
         }
     }
     for (const std::uint64_t update : link.ledgerUpdates) {
--- a/src/link/forwarding/UnitLinks.h
+++ b/src/link/forwarding/UnitLinks.h
@@ -31,7 +31,7 @@
 class UnitLinks final : public pooling::UnitForwarder,
                         public pooling::ProofQuestions,
                         public store::FeedQuestions,
-                        public tenancy::QuotaQuestions,
+                        public tenancy::QuotaRequestSender,
                         public pooling::LoadReporter,
                         public socket::StreamHandler {
 public:
@@ -57,8 +57,8 @@
     void askForChanges(const NodeName& node, std::uint64_t question,
                        const store::FeedQuestion& asked) override;
 
-    void askForQuota(const NodeName& node, std::uint64_t question,
-                     const tenancy::QuotaQuestion& asked) override;
+    void sendQuotaRequest(const NodeName& node, std::uint64_t question,
+                          const tenancy::QuotaRequest& asked) override;
 
     void updateLedger(const NodeName& node, std::uint64_t question,
                       const tenancy::LedgerUpdate& update) override;
--- a/src/link/forwarding/UnitService.cpp
+++ b/src/link/forwarding/UnitService.cpp
@@ -92,7 +92,7 @@
             onChangesAsked(link, message);
             return;
         case UnitMessage::Kind::QuotaAsked:
-            onQuotaAsked(link, message);
+            onQuotaRequest(link, message);
             return;
         case UnitMessage::Kind::LedgerUpdate:
             onLedgerUpdate(link, message);
@@ -155,18 +155,18 @@
     _questionEvents.feed->onFeedAsked(asker, message.feedQuestion);
 }
 
-void UnitService::onQuotaAsked(const Link& link, const UnitMessage& message) {
+void UnitService::onQuotaRequest(const Link& link, const UnitMessage& message) {
     const std::uint64_t asker = noteQuestion(link, message);
     if (_questionEvents.quotas == nullptr || !_serving) {
-        tenancy::QuotaAnswer declined;
+        tenancy::QuotaResponse declined;
         declined.declined = true;
-        answerQuota(asker, declined);
+        sendQuotaResponse(asker, declined);
         return;
     }
-    _questionEvents.quotas->onQuotaAsked(asker, message.quotaQuestion);
+    _questionEvents.quotas->onQuotaRequest(asker, message.quotaQuestion);
 }
 
-void UnitService::answerQuota(std::uint64_t asker, const tenancy::QuotaAnswer& reply) {
+void UnitService::sendQuotaResponse(std::uint64_t asker, const tenancy::QuotaResponse& reply) {
     UnitMessage answer;
     answer.kind = UnitMessage::Kind::Quota;
     answer.quotaAnswer = reply;
--- a/src/link/forwarding/UnitService.h
+++ b/src/link/forwarding/UnitService.h
@@ -25,7 +25,7 @@
 class UnitService final : public socket::StreamHandler,
                           public pooling::ProofAnswers,
                           public store::FeedAnswers,
-                          public tenancy::QuotaAnswers {
+                          public tenancy::QuotaResponseSender {
 public:
     /** References outlive the service. */
     UnitService(socket::SocketPoller& poller, pooling::StatementPooler& pooler);
@@ -50,7 +50,7 @@
 
     void answerFeed(std::uint64_t asker, const std::optional<store::FeedAnswer>& answer) override;
 
-    void answerQuota(std::uint64_t asker, const tenancy::QuotaAnswer& answer) override;
+    void sendQuotaResponse(std::uint64_t asker, const tenancy::QuotaResponse& answer) override;
     void acknowledgeLedger(std::uint64_t asker, const tenancy::LedgerAck& ack) override;
 
     /** Passes questions on from now on. All outlive the service's use. */
@@ -89,7 +89,7 @@
     std::uint64_t noteQuestion(const Link& link, const UnitMessage& message);
     void onProofAsked(const Link& link, const UnitMessage& message);
     void onChangesAsked(const Link& link, const UnitMessage& message);
-    void onQuotaAsked(const Link& link, const UnitMessage& message);
+    void onQuotaRequest(const Link& link, const UnitMessage& message);
     void onLedgerUpdate(const Link& link, const UnitMessage& message);
     void answerQuestion(std::uint64_t asker, UnitMessage answer);
     void decline(Link& link, UnitId unit);
--- a/src/tenancy/LedgerCopy.cpp
+++ b/src/tenancy/LedgerCopy.cpp
@@ -5,7 +5,7 @@
 
 /** Time for which an offer of leadership is valid. The leader repeats a standing offer every 0.5 s.
  */
-constexpr Duration kOfferCounts = std::chrono::seconds(1);
+constexpr Duration kOfferValidity = std::chrono::seconds(1);
 
 }  // namespace
 
@@ -29,7 +29,7 @@
     _sequence = update.sequence;
     _heardAt = now;
     if (update.offered) {
-        _offeredUntil = now + kOfferCounts;
+        _offeredUntil = now + kOfferValidity;
     }
     _released = _released || update.released;
     for (const CopiedBatch& batch : update.batches) {
--- a/src/tenancy/QuotaCalls.cpp
+++ b/src/tenancy/QuotaCalls.cpp
@@ -4,10 +4,10 @@
 
 namespace coralhoist::tenancy {
 
-void QuotaCalls::ask(const NodeName& node, const QuotaQuestion& question, AnswerCallback callback) {
+void QuotaCalls::ask(const NodeName& node, const QuotaRequest& question, AnswerCallback callback) {
     const std::uint64_t number = ++_last;
     _asked[number] = std::move(callback);
-    _questions.askForQuota(node, number, question);
+    _questions.sendQuotaRequest(node, number, question);
 }
 
 void QuotaCalls::update(const NodeName& node, const LedgerUpdate& update, AckCallback callback) {
@@ -16,7 +16,7 @@
     _questions.updateLedger(node, number, update);
 }
 
-void QuotaCalls::onAnswer(std::uint64_t question, const std::optional<QuotaAnswer>& answer) {
+void QuotaCalls::onAnswer(std::uint64_t question, const std::optional<QuotaResponse>& answer) {
     if (const auto asked = _asked.extract(question)) {
         asked.mapped()(answer);
     }
--- a/src/tenancy/QuotaCalls.h
+++ b/src/tenancy/QuotaCalls.h
@@ -13,21 +13,21 @@
 /** Each callback is called once, later; without an answer when the link is lost. */
 class QuotaCalls {
 public:
-    using AnswerCallback = std::function<void(const std::optional<QuotaAnswer>&)>;
+    using AnswerCallback = std::function<void(const std::optional<QuotaResponse>&)>;
     using AckCallback = std::function<void(const std::optional<LedgerAck>&)>;
 
     /** @param questions outlives the calls. */
-    explicit QuotaCalls(QuotaQuestions& questions) : _questions(questions) {}
+    explicit QuotaCalls(QuotaRequestSender& questions) : _questions(questions) {}
 
     bool canReach(const NodeName& node) const { return _questions.canReach(node); }
-    void ask(const NodeName& node, const QuotaQuestion& question, AnswerCallback callback);
+    void ask(const NodeName& node, const QuotaRequest& question, AnswerCallback callback);
     void update(const NodeName& node, const LedgerUpdate& update, AckCallback callback);
 
-    void onAnswer(std::uint64_t question, const std::optional<QuotaAnswer>& answer);
+    void onAnswer(std::uint64_t question, const std::optional<QuotaResponse>& answer);
     void onAck(std::uint64_t question, const std::optional<LedgerAck>& ack);
 
 private:
-    QuotaQuestions& _questions;
+    QuotaRequestSender& _questions;
     std::map<std::uint64_t, AnswerCallback> _asked;
     std::map<std::uint64_t, AckCallback> _updates;
     std::uint64_t _last = 0;
--- a/src/tenancy/QuotaExchange.cpp
+++ b/src/tenancy/QuotaExchange.cpp
@@ -119,7 +119,7 @@
     ranked.lastAskedAt = now;
     // Turns that nobody waits for any more are given up.
     ranked.turns.erase(ranked.turns.begin(), ranked.turns.upper_bound(now));
-    QuotaQuestion question;
+    QuotaRequest question;
     question.tenant = tenant;
     question.wanted = wish.units.units();
     if (_ranks.ranksDiffer) {
@@ -136,7 +136,7 @@
     _sending = true;
     send(quotaShardOf(tenant), question,
          [this, alive = std::weak_ptr<bool>(_alive), tenant, asked,
-          question](const QuotaAnswer& answer) {
+          question](const QuotaResponse& answer) {
              if (!alive.expired()) {
                  onAnswer(tenant, asked, question, answer);
              }
@@ -179,7 +179,7 @@
     }
 }
 
-void QuotaExchange::send(std::uint32_t shard, const QuotaQuestion& question, QuotaReply reply) {
+void QuotaExchange::send(std::uint32_t shard, const QuotaRequest& question, QuotaReply reply) {
     const auto own = _shards.find(shard);
     const bool leads = own != _shards.end() && own->second->leads();
     const TimePoint now = _dependencies.clock.now();
@@ -195,12 +195,12 @@
     }
     _calls.ask(*target, question,
                [this, alive = std::weak_ptr<bool>(_alive), shard, node = *target,
-                reply = std::move(reply)](const std::optional<QuotaAnswer>& answer) {
+                reply = std::move(reply)](const std::optional<QuotaResponse>& answer) {
                    if (alive.expired()) {
                        return;
                    }
                    _suspectAt.erase(shard);
-                   const QuotaAnswer taken = answer.value_or(declinedAnswer(Duration(0)));
+                   const QuotaResponse taken = answer.value_or(declinedResponse(Duration(0)));
                    if (taken.declined) {
                        _unhelpful[node] = _dependencies.clock.now();
                        _leaders.erase(shard);
@@ -220,7 +220,7 @@
     if (tenant == _accounts.end()) {
         return;
     }
-    QuotaQuestion question;
+    QuotaRequest question;
     question.tenant = tenant->first;
     std::set<NodeName> probed;
     if (const auto standby = _standbys.find(shard); standby != _standbys.end()) {
@@ -232,11 +232,11 @@
     }
     for (const NodeName& node : probed) {
         if (node == _dependencies.self.node) {
-            shardOf(shard).ask(question, [](const QuotaAnswer& /*answer*/) {});
+            shardOf(shard).ask(question, [](const QuotaResponse& /*answer*/) {});
         } else if (_calls.canReach(node)) {
             _calls.ask(node, question,
                        [this, alive = std::weak_ptr<bool>(_alive),
-                        shard](const std::optional<QuotaAnswer>& answer) {
+                        shard](const std::optional<QuotaResponse>& answer) {
                            if (!alive.expired() && answer) {
                                onProbed(shard, *answer);
                            }
@@ -246,7 +246,7 @@
 }
 
 /** Whoever grants where the leader does not answer is asked next, if the leader is lost. */
-void QuotaExchange::onProbed(std::uint32_t shard, const QuotaAnswer& answer) {
+void QuotaExchange::onProbed(std::uint32_t shard, const QuotaResponse& answer) {
     const auto leader = _leaders.find(shard);
     const bool isOther = leader == _leaders.end() || leader->second != answer.leader;
     if (!answer.declined && !answer.leader.value().empty() && isOther) {
@@ -261,7 +261,7 @@
 }
 
 void QuotaExchange::onAnswer(const TenantName& tenant, const Asked& asked,
-                             const QuotaQuestion& question, const QuotaAnswer& answer) {
+                             const QuotaRequest& question, const QuotaResponse& answer) {
     const auto found = _accounts.find(tenant);
     if (found == _accounts.end()) {
         return;
@@ -288,7 +288,7 @@
         account.lease.forget(question.settled);
         account.lease.add(answer, asked.at + question.usableFor, now);
         if (answer.granted > 0 && now >= asked.at + question.usableFor) {
-            ++_statistics.lateAnswers;
+            ++_statistics.lateResponses;
         }
     }
     // An answer that nobody waits for any more only brings units.
@@ -307,8 +307,8 @@
 }
 
 /** Statements wait for what is there soon enough; others need not ask before it would be. */
-void QuotaExchange::noteMissing(RankAccount& account, const Asked& asked, const QuotaAnswer& answer,
-                                TimePoint now) {
+void QuotaExchange::noteMissing(RankAccount& account, const Asked& asked,
+                                const QuotaResponse& answer, TimePoint now) {
     const Duration patience = _ranks.patience[asked.rank];
     account.comeBackAt = now + answer.retryAfter;
     if (asked.nowOnly > 0) {
@@ -469,18 +469,18 @@
                       [](const auto& entry) { return entry.second->isDeputy(); }));
 }
 
-void QuotaExchange::onQuotaAsked(std::uint64_t asker, const QuotaQuestion& question) {
+void QuotaExchange::onQuotaRequest(std::uint64_t asker, const QuotaRequest& question) {
     shardOf(quotaShardOf(question.tenant))
         .ask(question,
-             [this, alive = std::weak_ptr<bool>(_alive), asker](const QuotaAnswer& answer) {
+             [this, alive = std::weak_ptr<bool>(_alive), asker](const QuotaResponse& answer) {
                  if (!alive.expired()) {
-                     _dependencies.answers.answerQuota(asker, answer);
+                     _dependencies.answers.sendQuotaResponse(asker, answer);
                  }
              });
 }
 
-void QuotaExchange::onQuotaAnswer(std::uint64_t question,
-                                  const std::optional<QuotaAnswer>& answer) {
+void QuotaExchange::onQuotaResponse(std::uint64_t question,
+                                    const std::optional<QuotaResponse>& answer) {
     _calls.onAnswer(question, answer);
 }
 
--- a/src/tenancy/QuotaExchange.h
+++ b/src/tenancy/QuotaExchange.h
@@ -26,11 +26,11 @@
 /** What an exchange is made of. All outlive it. */
 struct QuotaDependencies {
     const Clock& clock;
-    QuotaQuestions& questions;
-    QuotaAnswers& answers;
+    QuotaRequestSender& questions;
+    QuotaResponseSender& answers;
     QuotaShardStore& store;
     const StoreEra& era;
-    NodeLife self;
+    NodeIncarnation self;
     ZoneName zone;
     /** Told that units of a tenant have come, or that none will. */
     std::function<void(const TenantName&)> onChange;
@@ -97,8 +97,9 @@
     void onTick(TimePoint now);
     TimePoint nextTick() const;
 
-    void onQuotaAsked(std::uint64_t asker, const QuotaQuestion& question) override;
-    void onQuotaAnswer(std::uint64_t question, const std::optional<QuotaAnswer>& answer) override;
+    void onQuotaRequest(std::uint64_t asker, const QuotaRequest& question) override;
+    void onQuotaResponse(std::uint64_t question,
+                         const std::optional<QuotaResponse>& answer) override;
     void onLedgerUpdate(std::uint64_t asker, const LedgerUpdate& update) override;
     void onLedgerAck(std::uint64_t question, const std::optional<LedgerAck>& ack) override;
 
@@ -154,7 +155,7 @@
                 TimePoint usedAt, TimePoint now) const;
     void ask(const TenantName& tenant, Account& account, const Wish& wish, TimePoint now);
     void giveUpLate(const TenantName& tenant, RankAccount& account, TimePoint now);
-    void noteMissing(RankAccount& account, const Asked& asked, const QuotaAnswer& answer,
+    void noteMissing(RankAccount& account, const Asked& asked, const QuotaResponse& answer,
                      TimePoint now);
     QuotaVerdict lookFor(const TenantName& tenant, const WaitingStatements& waiting,
                          TimePoint usedAt, TimePoint now);
@@ -163,11 +164,11 @@
     bool isUsable(const NodeName& node) const;
     void noteSilence(std::uint32_t shard, TimePoint now);
     void probe(std::uint32_t shard);
-    void onProbed(std::uint32_t shard, const QuotaAnswer& answer);
-    void send(std::uint32_t shard, const QuotaQuestion& question, QuotaReply reply);
+    void onProbed(std::uint32_t shard, const QuotaResponse& answer);
+    void send(std::uint32_t shard, const QuotaRequest& question, QuotaReply reply);
     static void noteAnswered(RankAccount& account, const Asked& asked);
-    void onAnswer(const TenantName& tenant, const Asked& asked, const QuotaQuestion& question,
-                  const QuotaAnswer& answer);
+    void onAnswer(const TenantName& tenant, const Asked& asked, const QuotaRequest& question,
+                  const QuotaResponse& answer);
     QuotaShard& shardOf(std::uint32_t shard);
     const std::vector<pooling::ProxyNode>& orderOf(std::uint32_t shard);
 
--- a/src/tenancy/QuotaLease.cpp
+++ b/src/tenancy/QuotaLease.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-void QuotaLease::add(const QuotaAnswer& answer, TimePoint usableUntil, TimePoint now) {
+void QuotaLease::add(const QuotaResponse& answer, TimePoint usableUntil, TimePoint now) {
     if (answer.granted == 0) {
         return;
     }
--- a/src/tenancy/QuotaLease.h
+++ b/src/tenancy/QuotaLease.h
@@ -19,7 +19,7 @@
 class QuotaLease {
 public:
     /** Takes the units of an answer. @param usableUntil by the question to which it answers. */
-    void add(const QuotaAnswer& answer, TimePoint usableUntil, TimePoint now);
+    void add(const QuotaResponse& answer, TimePoint usableUntil, TimePoint now);
 
     /** Uses a unit. @return whether there was one. */
     bool takeUnit(TimePoint now);
--- a/src/tenancy/QuotaMessages.h
+++ b/src/tenancy/QuotaMessages.h
@@ -39,7 +39,7 @@
 };
 
 /** Asks the leader of a tenant's shard for units that the requesting node may run. */
-struct QuotaQuestion {
+struct QuotaRequest {
     TenantName tenant;
     /** Requested units. A request for 0 units only settles batches. */
     std::uint32_t wanted = 0;
@@ -56,11 +56,11 @@
      * later time slot, units whose time slot has come, and units that are of no use later. */
     std::vector<std::uint32_t> wantedByRank = {};
 
-    bool operator==(const QuotaQuestion&) const = default;
+    bool operator==(const QuotaRequest&) const = default;
 };
 
 /** Response to a quota request. */
-struct QuotaAnswer {
+struct QuotaResponse {
     /** Nothing was granted, because no leader could be reached or the leader can't be sure that it
      * still leads. */
     bool declined = false;
@@ -77,11 +77,11 @@
     /** Granted units by rank, starting at rank 0; empty where the request named no ranks. */
     std::vector<std::uint32_t> grantedByRank = {};
 
-    bool operator==(const QuotaAnswer&) const = default;
+    bool operator==(const QuotaResponse&) const = default;
 };
 
 /** Receives the response to a request. Called exactly once, either synchronously or later. */
-using QuotaReply = std::function<void(const QuotaAnswer&)>;
+using QuotaReply = std::function<void(const QuotaResponse&)>;
 
 /** A batch as replicated to a standby. */
 struct CopiedBatch {
@@ -129,16 +129,16 @@
 };
 
 /** Sends requests to other nodes. No call delivers a response before the call returns. */
-class QuotaQuestions {
+class QuotaRequestSender {
 public:
-    virtual ~QuotaQuestions() = default;
+    virtual ~QuotaRequestSender() = default;
 
     /** @return whether the node appears to be reachable. */
     virtual bool canReach(const NodeName& node) const = 0;
 
-    /** Exactly one onQuotaAnswer call follows. It carries no response when the link is lost. */
-    virtual void askForQuota(const NodeName& node, std::uint64_t question,
-                             const QuotaQuestion& asked) = 0;
+    /** Exactly one onQuotaResponse call follows. It carries no response when the link is lost. */
+    virtual void sendQuotaRequest(const NodeName& node, std::uint64_t question,
+                                  const QuotaRequest& asked) = 0;
 
     /** Exactly one onLedgerAck call follows. It carries no acknowledgement when the link is lost.
      * Updates arrive in order. */
@@ -147,11 +147,11 @@
 };
 
 /** Sends responses to other nodes. */
-class QuotaAnswers {
+class QuotaResponseSender {
 public:
-    virtual ~QuotaAnswers() = default;
+    virtual ~QuotaResponseSender() = default;
 
-    virtual void answerQuota(std::uint64_t asker, const QuotaAnswer& answer) = 0;
+    virtual void sendQuotaResponse(std::uint64_t asker, const QuotaResponse& answer) = 0;
     virtual void acknowledgeLedger(std::uint64_t asker, const LedgerAck& ack) = 0;
 };
 
@@ -160,9 +160,9 @@
 public:
     virtual ~QuotaEvents() = default;
 
-    virtual void onQuotaAsked(std::uint64_t asker, const QuotaQuestion& question) = 0;
-    virtual void onQuotaAnswer(std::uint64_t question,
-                               const std::optional<QuotaAnswer>& answer) = 0;
+    virtual void onQuotaRequest(std::uint64_t asker, const QuotaRequest& question) = 0;
+    virtual void onQuotaResponse(std::uint64_t question,
+                                 const std::optional<QuotaResponse>& answer) = 0;
     virtual void onLedgerUpdate(std::uint64_t asker, const LedgerUpdate& update) = 0;
     virtual void onLedgerAck(std::uint64_t question, const std::optional<LedgerAck>& ack) = 0;
 };
--- a/src/tenancy/QuotaRequestQueue.cpp
+++ b/src/tenancy/QuotaRequestQueue.cpp
@@ -10,50 +10,50 @@
 /** Longest time for which a request is queued for replication to the standby, for the store or for
  * the record. */
 constexpr Duration kHeldFor = milliseconds(250);
-constexpr std::size_t kMostHeld = 512;
+constexpr std::size_t kMaxQueuedRequests = 512;
 /** Retry delay that a request gets when it is declined because the queue is full or its timeout has
  * passed. */
-constexpr Duration kRetryAfterHeld = milliseconds(200);
+constexpr Duration kRetryAfterQueueing = milliseconds(200);
 
 }  // namespace
 
-QuotaAnswer declinedAnswer(Duration retryAfter) {
-    QuotaAnswer answer;
+QuotaResponse declinedResponse(Duration retryAfter) {
+    QuotaResponse answer;
     answer.declined = true;
     answer.retryAfter = retryAfter;
     return answer;
 }
 
-bool HeldQuestion::isOverdue(TimePoint now) const {
+bool QueuedQuotaRequest::isOverdue(TimePoint now) const {
     return now - since >= kHeldFor;
 }
 
-void HeldQuestions::hold(HeldQuestion held) {
-    if (_questions.size() >= kMostHeld) {
-        decline(held, kRetryAfterHeld);
+void QuotaRequestQueue::hold(QueuedQuotaRequest held) {
+    if (_questions.size() >= kMaxQueuedRequests) {
+        decline(held, kRetryAfterQueueing);
         return;
     }
     _questions.push_back(std::move(held));
 }
 
-void HeldQuestions::decline(const HeldQuestion& held, Duration retryAfter) {
+void QuotaRequestQueue::decline(const QueuedQuotaRequest& held, Duration retryAfter) {
     ++_declined;
-    held.reply(declinedAnswer(retryAfter));
+    held.reply(declinedResponse(retryAfter));
 }
 
-void HeldQuestions::declineOverdue(TimePoint now) {
+void QuotaRequestQueue::declineOverdue(TimePoint now) {
     while (!_questions.empty() && _questions.front().isOverdue(now)) {
-        const HeldQuestion overdue = std::move(_questions.front());
+        const QueuedQuotaRequest overdue = std::move(_questions.front());
         _questions.pop_front();
-        decline(overdue, kRetryAfterHeld);
+        decline(overdue, kRetryAfterQueueing);
     }
 }
 
-std::deque<HeldQuestion> HeldQuestions::takeAll() {
+std::deque<QueuedQuotaRequest> QuotaRequestQueue::takeAll() {
     return std::exchange(_questions, {});
 }
 
-TimePoint HeldQuestions::dueAt() const {
+TimePoint QuotaRequestQueue::dueAt() const {
     return _questions.empty() ? TimePoint::max() : _questions.front().since + kHeldFor;
 }
 
--- a/src/tenancy/QuotaRequestQueue.h
+++ b/src/tenancy/QuotaRequestQueue.h
@@ -11,11 +11,11 @@
 namespace coralhoist::tenancy {
 
 /** @return a response that declines the request and grants no units. */
-QuotaAnswer declinedAnswer(Duration retryAfter);
+QuotaResponse declinedResponse(Duration retryAfter);
 
 /** A queued request and the callback for its response. */
-struct HeldQuestion {
-    QuotaQuestion question;
+struct QueuedQuotaRequest {
+    QuotaRequest question;
     QuotaReply reply;
     TimePoint since{};
 
@@ -25,21 +25,21 @@
 
 /** A queue that is bounded in length and in waiting time. Requests that don't fit or wait for too
  * long are declined. */
-class HeldQuestions {
+class QuotaRequestQueue {
 public:
     /** @param declined counter of declined requests; must outlive the queue. */
-    explicit HeldQuestions(std::uint64_t& declined) : _declined(declined) {}
+    explicit QuotaRequestQueue(std::uint64_t& declined) : _declined(declined) {}
 
     /** Queues the request, or declines it when the queue is full. */
-    void hold(HeldQuestion held);
-    void decline(const HeldQuestion& held, Duration retryAfter);
+    void hold(QueuedQuotaRequest held);
+    void decline(const QueuedQuotaRequest& held, Duration retryAfter);
     void declineOverdue(TimePoint now);
 
     /** Removes and returns all queued requests. A reply callback may submit the next request at
      * once, so the requests are removed before any of them is answered. */
-    std::deque<HeldQuestion> takeAll();
+    std::deque<QueuedQuotaRequest> takeAll();
 
-    const std::deque<HeldQuestion>& all() const { return _questions; }
+    const std::deque<QueuedQuotaRequest>& all() const { return _questions; }
     bool empty() const { return _questions.empty(); }
 
     /** @return when the oldest request reaches its timeout; `TimePoint::max()` for an empty queue.
@@ -48,7 +48,7 @@
 
 private:
     std::uint64_t& _declined;
-    std::deque<HeldQuestion> _questions;
+    std::deque<QueuedQuotaRequest> _questions;
 };
 
 }  // namespace coralhoist::tenancy
--- a/src/tenancy/QuotaShard.cpp
+++ b/src/tenancy/QuotaShard.cpp
@@ -11,7 +11,7 @@
 using std::chrono::milliseconds;
 
 /** Time for which a read of the record is recent enough to decide who may lead. */
-constexpr Duration kReadAgainAfter = milliseconds(300);
+constexpr Duration kRecordMaxAge = milliseconds(300);
 /** Delay after a failed store call, and between reads that changed nothing. */
 constexpr Duration kRetryPause = milliseconds(200);
 /** A standby takes over when it has had no update for this time while requests reached it because
@@ -19,23 +19,23 @@
 constexpr Duration kLeaderSilence = milliseconds(150);
 /** Time for which a declined request is evidence that the leader may have lost its lease because it
  * can't reach the store. */
-constexpr Duration kDeclinedCounts = std::chrono::seconds(1);
+constexpr Duration kDeclineValidity = std::chrono::seconds(1);
 constexpr Duration kLongestRetry = std::chrono::seconds(1);
 /** Shortest interval between forwarded probes, which only find out which node grants units. Many
  * nodes send probes at the same time. */
-constexpr Duration kProbeEvery = milliseconds(200);
+constexpr Duration kProbeInterval = milliseconds(200);
 
 }  // namespace
 
-void QuotaShard::ask(const QuotaQuestion& question, QuotaReply reply) {
+void QuotaShard::ask(const QuotaRequest& question, QuotaReply reply) {
     if (leads()) {
         _leader->ask(question, std::move(reply));
         return;
     }
     const TimePoint now = _context.clock.now();
     const bool isProbe = question.wanted == 0 && question.settled.empty();
-    if (isProbe && !isDeputy() && now - _probedAt < kProbeEvery) {
-        reply(declinedAnswer(kRetryPause));
+    if (isProbe && !isDeputy() && now - _probedAt < kProbeInterval) {
+        reply(declinedResponse(kRetryPause));
         return;
     }
     _probedAt = isProbe ? now : _probedAt;
@@ -45,10 +45,10 @@
         _deputy->ask(question, std::move(reply));
         return;
     }
-    relayOrSeek({question, std::move(reply), now}, now);
+    relayOrResolveLeader({question, std::move(reply), now}, now);
 }
 
-bool QuotaShard::canReach(const NodeLife& life) const {
+bool QuotaShard::canReach(const NodeIncarnation& life) const {
     return life.exists() && life.node != _context.self.node && _context.calls.canReach(life.node);
 }
 
@@ -68,40 +68,40 @@
 
 /** @return whether the requesting node gets no response from the leader and this node, its standby,
  * gets no updates from it. */
-bool QuotaShard::isSilentToStandby(const HeldQuestion& held, TimePoint now) const {
+bool QuotaShard::isSilentToStandby(const QueuedQuotaRequest& held, TimePoint now) const {
     return held.question.leaderSilent && _known && _copy.isOf(_known->record().leader.life) &&
            now - _copy.heardAt() >= kLeaderSilence;
 }
 
-void QuotaShard::relayOrSeek(HeldQuestion held, TimePoint now) {
+void QuotaShard::relayOrResolveLeader(QueuedQuotaRequest held, TimePoint now) {
     const std::optional<NodeName> target = relayTarget();
-    const bool mayHandOn = target && held.question.hops < kMostQuotaHops;
+    const bool mayForward = target && held.question.hops < kMostQuotaHops;
     const bool isWaitedForLong = now >= deputyDue();
-    if (mayHandOn && !isWaitedForLong && !_copy.isOffered(now) && !isSilentToStandby(held, now)) {
+    if (mayForward && !isWaitedForLong && !_copy.isOffered(now) && !isSilentToStandby(held, now)) {
         relay(*target, std::move(held));
         return;
     }
     _held.hold(std::move(held));
-    seek(now);
+    resolveLeader(now);
 }
 
 /** Forwards the request. A declined response shows that the record has changed or that the node
  * can't determine who leads. */
-void QuotaShard::relay(const NodeName& node, HeldQuestion held) {
+void QuotaShard::relay(const NodeName& node, QueuedQuotaRequest held) {
     ++_context.statistics.relayed;
-    QuotaQuestion question = held.question;
+    QuotaRequest question = held.question;
     ++question.hops;
     question.leaderSilent = question.leaderSilent || node != _known->record().leader.node;
-    const NodeLife& standby = _known->record().standby;
+    const NodeIncarnation& standby = _known->record().standby;
     const bool isProbe = question.wanted == 0;
     if ((isProbe || question.leaderSilent) && node != standby.node && canReach(standby)) {
         // Probing the standby in parallel finds out without further delay whether it is unreachable
         // too.
-        probe(standby.node, question, [](const QuotaAnswer& /*answer*/) {});
+        probe(standby.node, question, [](const QuotaResponse& /*answer*/) {});
     }
     _context.calls.ask(node, question,
-                       [this, alive = std::weak_ptr<bool>(_alive), node,
-                        held = std::move(held)](const std::optional<QuotaAnswer>& answer) mutable {
+                       [this, alive = std::weak_ptr<bool>(_alive), node, held = std::move(held)](
+                           const std::optional<QuotaResponse>& answer) mutable {
                            if (alive.expired()) {
                                return;
                            }
@@ -111,7 +111,7 @@
                                return;
                            }
                            const TimePoint now = _context.clock.now();
-                           mustReadAgain(now);
+                           requireReload(now);
                            noteReach(now);
                            if (answer && _known && node == _known->record().leader.node) {
                                _leaderDeclinedAt = now;
@@ -121,35 +121,35 @@
                            } else {
                                _held.hold(std::move(held));
                            }
-                           seek(now);
+                           resolveLeader(now);
                        });
 }
 
 /** Requires a new read of the record before the next decision. */
-void QuotaShard::mustReadAgain(TimePoint now) {
+void QuotaShard::requireReload(TimePoint now) {
     if (_known) {
-        _known->loadedAt = std::min(_known->loadedAt, now - kReadAgainAfter);
+        _known->loadedAt = std::min(_known->loadedAt, now - kRecordMaxAge);
     }
 }
 
-void QuotaShard::decline(const HeldQuestion& held, Duration retryAfter) {
+void QuotaShard::decline(const QueuedQuotaRequest& held, Duration retryAfter) {
     _held.decline(held, std::clamp(retryAfter, kRetryPause, kLongestRetry));
 }
 
 void QuotaShard::declineHeld(Duration retryAfter) {
-    for (const HeldQuestion& held : _held.takeAll()) {
+    for (const QueuedQuotaRequest& held : _held.takeAll()) {
         decline(held, retryAfter);
     }
 }
 
 /** Passes queued requests to the node that the record names. */
-void QuotaShard::handOnHeld() {
+void QuotaShard::dispatchQueued() {
     const std::optional<NodeName> target = relayTarget();
     if (!target && waitsToBeDeputy()) {
         _notBefore = std::max(_notBefore, deputyDue());
         return;
     }
-    for (HeldQuestion& held : _held.takeAll()) {
+    for (QueuedQuotaRequest& held : _held.takeAll()) {
         if (leads()) {
             _leader->ask(held.question, std::move(held.reply));
         } else if (isDeputy()) {
@@ -163,11 +163,11 @@
 }
 
 /** Finds out which node leads, or takes over leadership. */
-void QuotaShard::seek(TimePoint now) {
+void QuotaShard::resolveLeader(TimePoint now) {
     if (_calling || leads() || now < _notBefore) {
         return;
     }
-    if (!_known || now - _known->loadedAt >= kReadAgainAfter || !isOfPresentEra()) {
+    if (!_known || now - _known->loadedAt >= kRecordMaxAge || !isOfPresentEra()) {
         load(now);
     } else {
         decide(now);
@@ -231,9 +231,9 @@
         return false;
     }
     const QuotaShardRecord& record = _known->record();
-    const bool isSilent =
-        std::any_of(_held.all().begin(), _held.all().end(),
-                    [this, now](const HeldQuestion& held) { return isSilentToStandby(held, now); });
+    const bool isSilent = std::any_of(
+        _held.all().begin(), _held.all().end(),
+        [this, now](const QueuedQuotaRequest& held) { return isSilentToStandby(held, now); });
     return record.standby == _context.self && _copy.isOf(record.leader.life) &&
            (_copy.isOffered(now) || !canReach(record.leader) || isSilent);
 }
@@ -249,7 +249,7 @@
     const bool wasSelf = record.leader.node == _context.self.node && !hasHandedOver;
     // The lease of the leader that wrote this version has expired unless a newer version has been
     // written in the meantime, and then the claim fails.
-    const bool isSilent = !canReach(record.leader) || now - _leaderDeclinedAt < kDeclinedCounts;
+    const bool isSilent = !canReach(record.leader) || now - _leaderDeclinedAt < kDeclineValidity;
     const bool hasLapsed = isSilent && now - _known->parts.leaderSeenAt() >= kShardLeaseOfOthers;
     return isFree || wasSelf || hasLapsed;
 }
@@ -270,7 +270,7 @@
     } else if (mayBeDeputy(now)) {
         becomeDeputy();
     }
-    handOnHeld();
+    dispatchQueued();
 }
 
 /** @return ledgers that count all units that the former leader may have granted. */
@@ -278,7 +278,7 @@
     // A previous incarnation of this node stopped before this one began. Other leaders wrote the
     // record before it was first read and have stopped by now; this also holds where this
     // incarnation handed over and no node leads.
-    const NodeLife& leader = _known->record().leader;
+    const NodeIncarnation& leader = _known->record().leader;
     const bool wasFormerLife = leader.node == _context.self.node && leader != _context.self;
     const TimePoint writtenBy = wasFormerLife
                                     ? std::min(_context.startedAt, _known->parts.leaderSeenAt())
@@ -331,7 +331,7 @@
         QuotaShardRecord record = claimed;
         record.version = saved.version;
         lead(record, sentAt + kShardLease);
-        handOnHeld();
+        dispatchQueued();
     } else if (saved.outcome == StoreOutcome::Unavailable) {
         declineHeld(kRetryPause);
     } else {
@@ -363,8 +363,8 @@
     const auto windowOf = [this](const TenantName& tenant) { return _context.windowOf(tenant); };
     ack.accepted = !leads() && !_released && _copy.take(update, windowOf, now);
     if (ack.accepted && _copy.isOffered(now)) {
-        mustReadAgain(now);
-        seek(now);
+        requireReload(now);
+        resolveLeader(now);
     }
     return ack;
 }
@@ -382,7 +382,7 @@
 void QuotaShard::onTick(TimePoint now) {
     tickDeputy(now);
     if (_leader && _leader->hasEnded()) {
-        for (HeldQuestion& held : _leader->takeHeld()) {
+        for (QueuedQuotaRequest& held : _leader->takeHeld()) {
             _held.hold(std::move(held));
         }
         followSuccessor(now);
@@ -393,7 +393,7 @@
     }
     _held.declineOverdue(now);
     if (!_held.empty() || _copy.isReleased()) {
-        seek(now);
+        resolveLeader(now);
     }
 }
 
--- a/src/tenancy/QuotaShard.h
+++ b/src/tenancy/QuotaShard.h
@@ -37,7 +37,7 @@
         : _context(std::move(context)), _held(_context.statistics.declined) {}
 
     /** @param reply called once, synchronously or later. */
-    void ask(const QuotaQuestion& question, QuotaReply reply);
+    void ask(const QuotaRequest& question, QuotaReply reply);
 
     LedgerAck takeUpdate(const LedgerUpdate& update);
 
@@ -62,7 +62,7 @@
         const QuotaShardRecord& record() const { return parts.record(); }
     };
 
-    void relayOrSeek(HeldQuestion held, TimePoint now);
+    void relayOrResolveLeader(QueuedQuotaRequest held, TimePoint now);
     bool reachesLeader() const;
     std::optional<NodeName> relayTarget() const;
     std::optional<NodeName> reachableDeputy() const;
@@ -70,10 +70,10 @@
     void becomeDeputy();
     void noteReach(TimePoint now);
     void tickDeputy(TimePoint now);
-    bool isSilentToStandby(const HeldQuestion& held, TimePoint now) const;
-    bool canReach(const NodeLife& life) const;
-    void relay(const NodeName& node, HeldQuestion held);
-    void seek(TimePoint now);
+    bool isSilentToStandby(const QueuedQuotaRequest& held, TimePoint now) const;
+    bool canReach(const NodeIncarnation& life) const;
+    void relay(const NodeName& node, QueuedQuotaRequest held);
+    void resolveLeader(TimePoint now);
     void load(TimePoint now);
     void onLoaded(const LoadedShard& loaded);
     void decide(TimePoint now);
@@ -85,15 +85,15 @@
     void onClaimed(const SavedShard& saved, const QuotaShardRecord& claimed, TimePoint sentAt);
     void lead(const QuotaShardRecord& record, TimePoint leaseUntil);
     ShardLedgers inheritedLedgers(TimePoint now) const;
-    void mustReadAgain(TimePoint now);
-    void decline(const HeldQuestion& held, Duration retryAfter);
+    void requireReload(TimePoint now);
+    void decline(const QueuedQuotaRequest& held, Duration retryAfter);
     void declineHeld(Duration retryAfter);
-    void handOnHeld();
+    void dispatchQueued();
     bool waitsToBeDeputy() const;
     TimePoint deputyDue() const;
-    void lookForLeader(TimePoint now);
+    void probeLeader(TimePoint now);
     void followSuccessor(TimePoint now);
-    void probe(const NodeName& node, QuotaQuestion question, QuotaReply onAnswered);
+    void probe(const NodeName& node, QuotaRequest question, QuotaReply onAnswered);
 
     ShardContext _context;
     std::unique_ptr<ShardLeader> _leader;
@@ -104,7 +104,7 @@
     /** Time of the deputy's next check whether it is still needed. */
     TimePoint _deputyDueAt{};
     /** Time of the deputy's last probe of the leader. */
-    TimePoint _lookedAt{};
+    TimePoint _leaderProbedAt{};
     /** Time when a request without units was last forwarded. */
     TimePoint _probedAt{};
     /** Tenant of the latest request. */
@@ -122,7 +122,7 @@
     bool _calling = false;
     bool _released = false;
     TimePoint _notBefore{};
-    HeldQuestions _held;
+    QuotaRequestQueue _held;
     std::shared_ptr<bool> _alive = std::make_shared<bool>(true);
 };
 
--- a/src/tenancy/QuotaShardDeputy.cpp
+++ b/src/tenancy/QuotaShardDeputy.cpp
@@ -11,12 +11,12 @@
 
 /** Time for which leader and standby have to be unreachable before this node may be a deputy.
  * Reconnecting takes less time, and queued statements still get a response in time. */
-constexpr Duration kCutOffFor = milliseconds(100);
+constexpr Duration kCutOffDelay = milliseconds(100);
 /** The same time while the standby appears reachable but has not responded either. A standby takes
  * over within this time if the leader has failed. */
 constexpr Duration kStandbySilence = milliseconds(300);
 /** Interval at which a deputy checks whether the leader is reachable. */
-constexpr Duration kLookEvery = milliseconds(200);
+constexpr Duration kLeaderProbeInterval = milliseconds(200);
 
 }  // namespace
 
@@ -29,7 +29,7 @@
     if (isDeputy()) {
         if (_known) {
             _known->parts = _deputy->parts();
-            lookForLeader(now);
+            probeLeader(now);
         }
         return;
     }
@@ -46,7 +46,7 @@
 void QuotaShard::followSuccessor(TimePoint now) {
     const RecordParts parts = _leader->parts();
     _leader.reset();
-    const NodeLife& successor = parts.record().leader;
+    const NodeIncarnation& successor = parts.record().leader;
     if (successor.exists() && successor != _context.self) {
         _known = KnownRecord{parts, now};
         if (!canReach(successor)) {
@@ -56,7 +56,7 @@
 }
 
 /** Sends a request without units, for which only the arrival of a response matters. */
-void QuotaShard::probe(const NodeName& node, QuotaQuestion question, QuotaReply onAnswered) {
+void QuotaShard::probe(const NodeName& node, QuotaRequest question, QuotaReply onAnswered) {
     question.wanted = 0;
     // A probe must not cause a standby to take over.
     question.leaderSilent = false;
@@ -64,7 +64,7 @@
     question.wantedByRank.clear();
     _context.calls.ask(node, question,
                        [alive = std::weak_ptr<bool>(_alive), onAnswered = std::move(onAnswered)](
-                           const std::optional<QuotaAnswer>& answer) {
+                           const std::optional<QuotaResponse>& answer) {
                            if (!alive.expired() && answer && !answer->declined) {
                                onAnswered(*answer);
                            }
@@ -73,17 +73,17 @@
 
 /** Probes the leader. A reopened connection alone does not prove that the leader works, so the
  * leader has to respond. */
-void QuotaShard::lookForLeader(TimePoint now) {
+void QuotaShard::probeLeader(TimePoint now) {
     const std::optional<NodeName> target = relayTarget();
-    if (!target || !reachesLeader() || now - _lookedAt < kLookEvery) {
+    if (!target || !reachesLeader() || now - _leaderProbedAt < kLeaderProbeInterval) {
         return;
     }
-    _lookedAt = now;
-    QuotaQuestion question;
+    _leaderProbedAt = now;
+    QuotaRequest question;
     question.tenant = _tenant;
     // Leaves one hop, so that a standby may forward the probe.
     question.hops = kMostQuotaHops - 1;
-    probe(*target, question, [this](const QuotaAnswer& /*answer*/) {
+    probe(*target, question, [this](const QuotaResponse& /*answer*/) {
         _cutOffSince.reset();
         if (isDeputy()) {
             _deputy->withdraw();
@@ -98,7 +98,7 @@
         return TimePoint::max();
     }
     const bool reachesStandby = canReach(_known->record().standby);
-    return *_cutOffSince + (reachesStandby ? kStandbySilence : kCutOffFor);
+    return *_cutOffSince + (reachesStandby ? kStandbySilence : kCutOffDelay);
 }
 
 /** @return whether this node may soon become a deputy and answer requests itself. */
@@ -151,13 +151,13 @@
     if (!_deputy) {
         return;
     }
-    _deputyDueAt = now + kLookEvery;
+    _deputyDueAt = now + kLeaderProbeInterval;
     noteReach(now);
     _deputy->onTick(now);
     if (_deputy->hasWithdrawn() && _deputy->countsNothing(now)) {
         _deputy.reset();
     } else if (isDeputy() && !leads() && !_released && mayLeadWithoutCopy(now)) {
-        seek(now);
+        resolveLeader(now);
     }
 }
 
--- a/src/tenancy/QuotaShardRecord.h
+++ b/src/tenancy/QuotaShardRecord.h
@@ -17,7 +17,7 @@
 namespace coralhoist::tenancy {
 
 /** One incarnation of a node. */
-struct NodeLife {
+struct NodeIncarnation {
     NodeName node;
     /** Incarnation identifier, which differs after each start of the node. */
     std::string life;
@@ -25,7 +25,7 @@
     /** @return whether it names a node at all. */
     bool exists() const { return !life.empty(); }
 
-    bool operator==(const NodeLife&) const = default;
+    bool operator==(const NodeIncarnation&) const = default;
 };
 
 /** State of one tenant in the record, for a new leader that has no copy of the ledger. */
@@ -45,7 +45,7 @@
 /** Part of one deputy, a node that grants units where neither the leader nor its standby can be
  * reached. */
 struct DeputyPart {
-    NodeLife holder;
+    NodeIncarnation holder;
     /** The deputy may write allowances into its part. Otherwise its units only count until they age
      * out. */
     bool grants = true;
@@ -69,10 +69,10 @@
  * stopped before. */
 struct QuotaShardRecord {
     /** Node that grants units. Empty when the former leader has shut down as planned. */
-    NodeLife leader;
+    NodeIncarnation leader;
     /** Node that has a copy of every grant that was ever sent in a response, and may therefore take
      * over at once. Empty when there is none. */
-    NodeLife standby;
+    NodeIncarnation standby;
     /** The leader's part. A tenant that is not listed was granted nothing. */
     RecordedQuotas tenants;
     /** Parts of the tenants' bounds that are assigned to deputies instead of the leader. */
--- a/src/tenancy/RecordParts.cpp
+++ b/src/tenancy/RecordParts.cpp
@@ -60,7 +60,7 @@
 
 }  // namespace
 
-const DeputyPart* findPart(const std::vector<DeputyPart>& parts, const NodeLife& deputy) {
+const DeputyPart* findPart(const std::vector<DeputyPart>& parts, const NodeIncarnation& deputy) {
     const auto found = std::find_if(parts.begin(), parts.end(), [&deputy](const DeputyPart& part) {
         return part.holder == deputy;
     });
@@ -129,7 +129,7 @@
     }
 }
 
-ForeignUnits RecordParts::besidesDeputy(const NodeLife& deputy, const TenantName& tenant,
+ForeignUnits RecordParts::besidesDeputy(const NodeIncarnation& deputy, const TenantName& tenant,
                                         TimePoint now) const {
     ForeignUnits units;
     for (const DeputyPart& part : _record.deputies) {
@@ -187,7 +187,7 @@
     return parts;
 }
 
-bool RecordParts::mayJoin(const NodeLife& deputy) const {
+bool RecordParts::mayJoin(const NodeIncarnation& deputy) const {
     return _record.deputies.size() < kMostDeputies || findPart(_record.deputies, deputy) != nullptr;
 }
 
--- a/src/tenancy/RecordParts.h
+++ b/src/tenancy/RecordParts.h
@@ -90,7 +90,7 @@
     ForeignUnits besidesLeader(const TenantName& tenant, TimePoint now) const;
 
     /** @return the units that others than the given deputy have in the known record. */
-    ForeignUnits besidesDeputy(const NodeLife& deputy, const TenantName& tenant,
+    ForeignUnits besidesDeputy(const NodeIncarnation& deputy, const TenantName& tenant,
                                TimePoint now) const;
 
     /** @return the deputies' parts for the next version. Parts whose lease has certainly expired
@@ -100,7 +100,7 @@
     std::vector<DeputyPart> cleared(Duration window, TimePoint now) const;
 
     /** @return whether the record has room for the deputy's part or already holds it. */
-    bool mayJoin(const NodeLife& deputy) const;
+    bool mayJoin(const NodeIncarnation& deputy) const;
 
     const QuotaShardRecord& record() const { return _record; }
 
@@ -126,6 +126,6 @@
 };
 
 /** @return the deputy's part, or null. */
-const DeputyPart* findPart(const std::vector<DeputyPart>& parts, const NodeLife& deputy);
+const DeputyPart* findPart(const std::vector<DeputyPart>& parts, const NodeIncarnation& deputy);
 
 }  // namespace coralhoist::tenancy
--- a/src/tenancy/ShardContext.h
+++ b/src/tenancy/ShardContext.h
@@ -22,13 +22,13 @@
     std::uint64_t ran = 0;
     std::uint64_t unused = 0;
     /** Responses that arrived too late for their units to be used. */
-    std::uint64_t lateAnswers = 0;
+    std::uint64_t lateResponses = 0;
     /** By rank: units that this node granted as leader, units that it deferred to a reserved time
      * slot, and units that it refused without one; then units that were requested again in their
      * time slot, and those of them that were granted. */
     CountersByRank grantedByRank{};
-    CountersByRank putOffByRank{};
-    CountersByRank turnedAwayByRank{};
+    CountersByRank deferredByRank{};
+    CountersByRank refusedByRank{};
     CountersByRank turnsByRank{};
     CountersByRank turnsKeptByRank{};
     /** Requests of this node and of others that were answered as leader, forwarded, or declined. */
@@ -48,7 +48,7 @@
 /** Context of one shard, shared by all components that handle it. */
 struct ShardContext {
     std::uint32_t shard = 0;
-    NodeLife self;
+    NodeIncarnation self;
     /** Start time of this incarnation of the node. Its previous incarnation granted nothing later.
      */
     TimePoint startedAt{};
--- a/src/tenancy/ShardLeader.cpp
+++ b/src/tenancy/ShardLeader.cpp
@@ -16,14 +16,14 @@
 constexpr Duration kLongestRetry = std::chrono::seconds(1);
 /** Longest retry delay where ranks matter. All units that count now have expired after one window.
  */
-constexpr Duration kLongestPutOff = std::chrono::seconds(5);
+constexpr Duration kLongestDeferral = std::chrono::seconds(5);
 /** A tenant whose count exceeds this share of its bound uses most of its quota. */
 constexpr double kScarceAbove = 0.75;
 /** The record is rewritten when no more than this share of a tenant's allowance is left. */
 constexpr double kAllowanceLow = 0.3;
 
 /** @return the units that the request asks for, the most urgent rank first. */
-std::vector<RankedWish> wishesOf(const QuotaQuestion& question) {
+std::vector<RankedWish> wishesOf(const QuotaRequest& question) {
     const auto wanted = [&question](std::size_t index) {
         return index < question.wantedByRank.size() ? question.wantedByRank[index] : 0;
     };
@@ -39,7 +39,7 @@
 }
 
 /** @return how long the requested units are usable. */
-Duration usableFor(const QuotaQuestion& question) {
+Duration usableFor(const QuotaRequest& question) {
     return std::min(question.usableFor, kLongestQuotaLease);
 }
 
@@ -68,7 +68,7 @@
     return _ledgers.try_emplace(tenant, _context.windowOf(tenant)).first->second;
 }
 
-void ShardLeader::ask(const QuotaQuestion& question, QuotaReply reply) {
+void ShardLeader::ask(const QuotaRequest& question, QuotaReply reply) {
     const TimePoint now = _context.clock.now();
     _askedAt = now;
     for (const BatchSettlement& settlement : question.settled) {
@@ -80,11 +80,11 @@
         // ledger marks them.
         ledgerOf(question.tenant);
     }
-    HeldQuestion held{question, std::move(reply), now};
+    QueuedQuotaRequest held{question, std::move(reply), now};
     if (mayGrant(now)) {
         answer(std::move(held), now);
-    } else if (mayHandOn(question)) {
-        handOn(held);
+    } else if (mayForward(question)) {
+        forwardToSuccessor(held);
     } else {
         _held.hold(std::move(held));
     }
@@ -93,20 +93,20 @@
     }
 }
 
-bool ShardLeader::mayHandOn(const QuotaQuestion& question) const {
+bool ShardLeader::mayForward(const QuotaRequest& question) const {
     return !_successor.value().empty() && _standbyState == StandbyState::Leaving &&
            question.hops < kMostQuotaHops;
 }
 
 /** Forwards the request to the probable new leader. While this node can't write the record, it
  * can't read from it who leads either. */
-void ShardLeader::handOn(const HeldQuestion& held) {
+void ShardLeader::forwardToSuccessor(const QueuedQuotaRequest& held) {
     ++_context.statistics.relayed;
-    QuotaQuestion question = held.question;
+    QuotaRequest question = held.question;
     ++question.hops;
     _context.calls.ask(_successor, question,
-                       [reply = held.reply](const std::optional<QuotaAnswer>& answer) {
-                           reply(answer.value_or(declinedAnswer(kRetryAfterDecline)));
+                       [reply = held.reply](const std::optional<QuotaResponse>& answer) {
+                           reply(answer.value_or(declinedResponse(kRetryAfterDecline)));
                        });
 }
 
@@ -139,14 +139,14 @@
 }
 
 /** @return whether ranks matter to both the request and this node. */
-bool ShardLeader::knowsTurns(const QuotaQuestion& question) const {
+bool ShardLeader::usesRanks(const QuotaRequest& question) const {
     return !question.wantedByRank.empty() && _context.ranks != nullptr &&
            _context.ranks->ranksDiffer;
 }
 
-ShardLeader::RankedGrant ShardLeader::grantOf(const Tenant& tenant, const QuotaQuestion& question,
+ShardLeader::RankedGrant ShardLeader::grantOf(const Tenant& tenant, const QuotaRequest& question,
                                               std::uint32_t units, TimePoint now) {
-    if (knowsTurns(question)) {
+    if (usesRanks(question)) {
         return pacedByRank(tenant, question, units, now);
     }
     return {paced(tenant, units, now), {}, {}};
@@ -154,8 +154,8 @@
 
 /** @param units most units to grant, by ledger and allowance. */
 ShardLeader::RankedGrant ShardLeader::pacedByRank(const Tenant& tenant,
-                                                  const QuotaQuestion& question,
-                                                  std::uint32_t units, TimePoint now) {
+                                                  const QuotaRequest& question, std::uint32_t units,
+                                                  TimePoint now) {
     UnitPacer& pacer = _pacers[tenant.name];
     UnitTurns& turns = _turns[tenant.name];
     pacer.available(_context.terms, tenant.quota, now);
@@ -213,15 +213,15 @@
         if (waiting > 0) {
             turns.promise(wish.rank, waiting, now + until);
         }
-        _context.statistics.putOffByRank[wish.rank] += waiting;
-        _context.statistics.turnedAwayByRank[wish.rank] += wish.units() - waiting;
+        _context.statistics.deferredByRank[wish.rank] += waiting;
+        _context.statistics.refusedByRank[wish.rank] += wish.units() - waiting;
         first = first.value_or(until);
     }
-    return std::min(first.value_or(Duration(0)), kLongestPutOff);
+    return std::min(first.value_or(Duration(0)), kLongestDeferral);
 }
 
-void ShardLeader::answer(HeldQuestion held, TimePoint now) {
-    const QuotaQuestion& question = held.question;
+void ShardLeader::answer(QueuedQuotaRequest held, TimePoint now) {
+    const QuotaRequest& question = held.question;
     const Tenant* tenant = _context.tenants().find(question.tenant);
     if (tenant == nullptr) {
         _held.decline(held, kRetryAfterDecline);
@@ -235,7 +235,7 @@
     }
     const RankedGrant ranked = grantOf(*tenant, question, allowed, now);
     const std::uint32_t units = ranked.units;
-    const QuotaAnswer granted = grant(*tenant, question, ranked, now);
+    const QuotaResponse granted = grant(*tenant, question, ranked, now);
     ++_context.statistics.granted;
     if (units == 0 || _standbyState == StandbyState::None) {
         held.reply(granted);
@@ -256,11 +256,11 @@
     return _allowances.left(tenant.name) == 0 && freeUnits(tenant, now) > 0;
 }
 
-QuotaAnswer ShardLeader::grant(const Tenant& tenant, const QuotaQuestion& question,
-                               const RankedGrant& granted, TimePoint now) {
+QuotaResponse ShardLeader::grant(const Tenant& tenant, const QuotaRequest& question,
+                                 const RankedGrant& granted, TimePoint now) {
     const std::uint32_t units = granted.units;
     QuotaLedger& ledger = ledgerOf(tenant.name);
-    QuotaAnswer answer;
+    QuotaResponse answer;
     answer.leader = _context.self.node;
     answer.standby = _standbyState == StandbyState::InSync ? _standby.node : NodeName();
     answer.granted = units;
@@ -292,7 +292,7 @@
 }
 
 void ShardLeader::answerHeld(TimePoint now) {
-    for (HeldQuestion& held : _held.takeAll()) {
+    for (QueuedQuotaRequest& held : _held.takeAll()) {
         if (mayGrant(now)) {
             answer(std::move(held), now);
         } else {
@@ -302,7 +302,7 @@
 }
 
 void ShardLeader::abandon() {
-    for (const HeldQuestion& held : _held.takeAll()) {
+    for (const QueuedQuotaRequest& held : _held.takeAll()) {
         _held.decline(held, Duration(0));
     }
     end();
@@ -313,7 +313,7 @@
     _copy = 0;
     for (auto& [number, grant] : std::exchange(_unacknowledged, {})) {
         ++_context.statistics.declined;
-        grant.reply(declinedAnswer(kRetryAfterDecline));
+        grant.reply(declinedResponse(kRetryAfterDecline));
     }
     LogEvent("tenancy", LogLevel::Info, "quota.leadership_ended").field("shard", _context.shard);
 }
--- a/src/tenancy/ShardLeader.h
+++ b/src/tenancy/ShardLeader.h
@@ -58,7 +58,7 @@
     ShardLeader(const ShardContext& context, RecordParts parts);
 
     /** Handles a request. The response is sent within the queueing timeout of requests. */
-    void ask(const QuotaQuestion& question, QuotaReply reply);
+    void ask(const QuotaRequest& question, QuotaReply reply);
 
     void onTick(TimePoint now);
     TimePoint nextTick() const;
@@ -73,7 +73,7 @@
     bool hasEnded() const { return _ended; }
 
     /** Removes and returns the queued requests that were not answered here. */
-    std::deque<HeldQuestion> takeHeld() { return _held.takeAll(); }
+    std::deque<QueuedQuotaRequest> takeHeld() { return _held.takeAll(); }
 
     /** Makes a deputy stop granting and record that in its part. */
     void withdraw();
@@ -107,7 +107,7 @@
     };
     struct UnacknowledgedGrant {
         QuotaReply reply;
-        QuotaAnswer answer;
+        QuotaResponse answer;
     };
 
     const RecordedQuotas& ownQuotas() const;
@@ -120,22 +120,22 @@
     bool isSecondDeputy() const;
 
     bool mayGrant(TimePoint now) const;
-    void answer(HeldQuestion held, TimePoint now);
+    void answer(QueuedQuotaRequest held, TimePoint now);
     std::uint32_t freeUnits(const Tenant& tenant, TimePoint now);
     std::uint32_t grantable(const Tenant& tenant, std::uint32_t wanted, TimePoint now);
-    QuotaAnswer grant(const Tenant& tenant, const QuotaQuestion& question,
-                      const RankedGrant& granted, TimePoint now);
+    QuotaResponse grant(const Tenant& tenant, const QuotaRequest& question,
+                        const RankedGrant& granted, TimePoint now);
     QuotaLedger& ledgerOf(const TenantName& tenant);
-    bool mayHandOn(const QuotaQuestion& question) const;
-    void handOn(const HeldQuestion& held);
+    bool mayForward(const QuotaRequest& question) const;
+    void forwardToSuccessor(const QueuedQuotaRequest& held);
     void answerHeld(TimePoint now);
 
     bool isLimitedByAllowance(const Tenant& tenant, TimePoint now);
     std::uint32_t paced(const Tenant& tenant, std::uint32_t units, TimePoint now);
-    bool knowsTurns(const QuotaQuestion& question) const;
-    RankedGrant pacedByRank(const Tenant& tenant, const QuotaQuestion& question,
-                            std::uint32_t units, TimePoint now);
-    RankedGrant grantOf(const Tenant& tenant, const QuotaQuestion& question, std::uint32_t units,
+    bool usesRanks(const QuotaRequest& question) const;
+    RankedGrant pacedByRank(const Tenant& tenant, const QuotaRequest& question, std::uint32_t units,
+                            TimePoint now);
+    RankedGrant grantOf(const Tenant& tenant, const QuotaRequest& question, std::uint32_t units,
                         TimePoint now);
     Duration putOff(const Tenant& tenant, const RankedGrant& granted, TimePoint now);
     Duration untilFree(const Tenant& tenant, std::uint32_t units, TimePoint now);
@@ -182,7 +182,7 @@
     bool _withdrawn = false;
 
     StandbyState _standbyState = StandbyState::None;
-    NodeLife _standby;
+    NodeIncarnation _standby;
     /** The former standby that refused an update, which means that it probably leads. */
     NodeName _successor;
     /** Number of this copy among all copies of this incarnation of the node. */
@@ -207,7 +207,7 @@
     TimePoint _savedAt{};
     TimePoint _offeredAt{};
     TimePoint _askedAt{};
-    HeldQuestions _held;
+    QuotaRequestQueue _held;
     std::shared_ptr<bool> _alive = std::make_shared<bool>(true);
 };
 
--- a/src/tenancy/ShardLeaderParts.cpp
+++ b/src/tenancy/ShardLeaderParts.cpp
@@ -73,7 +73,7 @@
         }
         const bool isNamed =
             _standbyState == StandbyState::Joining || _standbyState == StandbyState::InSync;
-        attempted.standby = isNamed ? _standby : NodeLife{};
+        attempted.standby = isNamed ? _standby : NodeIncarnation{};
         attempted.tenants = leaderQuotas(_context, _parts, _ledgers, now);
         ++attempted.renewals;
         return;
@@ -93,7 +93,7 @@
     _withdrawn = true;
     _mustRenew = false;
     LogEvent("tenancy", LogLevel::Info, "quota.deputy_ended").field("shard", _context.shard);
-    for (const HeldQuestion& held : _held.takeAll()) {
+    for (const QueuedQuotaRequest& held : _held.takeAll()) {
         _held.decline(held, Duration(0));
     }
     onTick(_context.clock.now());
--- a/tests/session/CallerListenerTest.cpp
+++ b/tests/session/CallerListenerTest.cpp
@@ -30,14 +30,15 @@
 };
 
 /** There are no other nodes. */
-class NoQuotaLinks final : public tenancy::QuotaQuestions, public tenancy::QuotaAnswers {
+class NoQuotaLinks final : public tenancy::QuotaRequestSender, public tenancy::QuotaResponseSender {
 public:
     bool canReach(const NodeName& /*node*/) const override { return false; }
-    void askForQuota(const NodeName& /*node*/, std::uint64_t /*question*/,
-                     const tenancy::QuotaQuestion& /*asked*/) override {}
+    void sendQuotaRequest(const NodeName& /*node*/, std::uint64_t /*question*/,
+                          const tenancy::QuotaRequest& /*asked*/) override {}
     void updateLedger(const NodeName& /*node*/, std::uint64_t /*question*/,
                       const tenancy::LedgerUpdate& /*update*/) override {}
-    void answerQuota(std::uint64_t /*asker*/, const tenancy::QuotaAnswer& /*answer*/) override {}
+    void sendQuotaResponse(std::uint64_t /*asker*/,
+                           const tenancy::QuotaResponse& /*answer*/) override {}
     void acknowledgeLedger(std::uint64_t /*asker*/, const tenancy::LedgerAck& /*ack*/) override {}
 };
 
--- a/tests/tenancy/QuotaFloodTest.cpp
+++ b/tests/tenancy/QuotaFloodTest.cpp
@@ -80,7 +80,7 @@
             const QuotaStatistics counted = flood.network.statistics();
             exceeded += "seed " + std::to_string(seed) + ": " + std::to_string(busiest) +
                         " (unused " + std::to_string(counted.unused) + ", late answers " +
-                        std::to_string(counted.lateAnswers) + ") ";
+                        std::to_string(counted.lateResponses) + ") ";
         }
     }
     return exceeded;
--- a/tests/tenancy/QuotaLedgerTest.cpp
+++ b/tests/tenancy/QuotaLedgerTest.cpp
@@ -138,8 +138,8 @@
     TimePoint start{std::chrono::hours(1)};
     QuotaLease lease;
 
-    static QuotaAnswer granted(const BatchId& batch, std::uint32_t units) {
-        QuotaAnswer answer;
+    static QuotaResponse granted(const BatchId& batch, std::uint32_t units) {
+        QuotaResponse answer;
         answer.batch = batch;
         answer.granted = units;
         return answer;
--- a/tests/tenancy/QuotaNetwork.cpp
+++ b/tests/tenancy/QuotaNetwork.cpp
@@ -30,13 +30,13 @@
 
 void add(QuotaStatistics& total, const QuotaStatistics& more) {
     addByRank(total.grantedByRank, more.grantedByRank);
-    addByRank(total.putOffByRank, more.putOffByRank);
-    addByRank(total.turnedAwayByRank, more.turnedAwayByRank);
+    addByRank(total.deferredByRank, more.deferredByRank);
+    addByRank(total.refusedByRank, more.refusedByRank);
     addByRank(total.turnsByRank, more.turnsByRank);
     addByRank(total.turnsKeptByRank, more.turnsKeptByRank);
     total.ran += more.ran;
     total.unused += more.unused;
-    total.lateAnswers += more.lateAnswers;
+    total.lateResponses += more.lateResponses;
     total.granted += more.granted;
     total.relayed += more.relayed;
     total.declined += more.declined;
@@ -49,8 +49,8 @@
 
 }  // namespace
 
-class QuotaNetwork::Node final : public QuotaQuestions,
-                                 public QuotaAnswers,
+class QuotaNetwork::Node final : public QuotaRequestSender,
+                                 public QuotaResponseSender,
                                  public QuotaShardStore {
 public:
     Node(QuotaNetwork& network, std::size_t index) : _network(network), _index(index) {
@@ -122,8 +122,8 @@
                (lost == _lostUntil.end() || _network._clock.now() >= lost->second);
     }
 
-    void askForQuota(const NodeName& node, std::uint64_t number,
-                     const QuotaQuestion& asked) override {
+    void sendQuotaRequest(const NodeName& node, std::uint64_t number,
+                          const QuotaRequest& asked) override {
         Packet packet = packetTo(node, number);
         packet.kind = Packet::Kind::Question;
         packet.question = asked;
@@ -138,7 +138,7 @@
         ask(std::move(packet));
     }
 
-    void answerQuota(std::uint64_t asker, const QuotaAnswer& answer) override {
+    void sendQuotaResponse(std::uint64_t asker, const QuotaResponse& answer) override {
         Packet packet = answerTo(asker);
         packet.kind = Packet::Kind::Answer;
         packet.answer = answer;
@@ -186,9 +186,9 @@
                 exchange->onLedgerUpdate(asker, packet.update);
             }
         } else if (leaving) {
-            answerQuota(asker, declinedAnswer(Duration(0)));
+            sendQuotaResponse(asker, declinedResponse(Duration(0)));
         } else {
-            exchange->onQuotaAsked(asker, packet.question);
+            exchange->onQuotaRequest(asker, packet.question);
         }
     }
 
@@ -197,7 +197,7 @@
         if (packet.kind == Packet::Kind::Ack) {
             exchange->onLedgerAck(packet.number, packet.ack);
         } else {
-            exchange->onQuotaAnswer(packet.number, packet.answer);
+            exchange->onQuotaResponse(packet.number, packet.answer);
         }
     }
 
@@ -289,7 +289,7 @@
             if (packet.kind == Packet::Kind::Update) {
                 exchange->onLedgerAck(packet.number, std::nullopt);
             } else {
-                exchange->onQuotaAnswer(packet.number, std::nullopt);
+                exchange->onQuotaResponse(packet.number, std::nullopt);
             }
         }
         // A link that was lost is tried by a connection of its own.
--- a/tests/tenancy/QuotaNetwork.h
+++ b/tests/tenancy/QuotaNetwork.h
@@ -107,8 +107,8 @@
         std::size_t from = 0;
         std::size_t to = 0;
         std::uint64_t number = 0;
-        QuotaQuestion question;
-        QuotaAnswer answer;
+        QuotaRequest question;
+        QuotaResponse answer;
         LedgerUpdate update;
         LedgerAck ack;
         /** Life of the node that asked. */
--- a/tests/tenancy/QuotaRanksTest.cpp
+++ b/tests/tenancy/QuotaRanksTest.cpp
@@ -142,7 +142,7 @@
 TEST(QuotaRanks, WithOneRankNothingWaitsForATurn) {
     const Played played = play(kLarge, 6, oneRank());
     UNSIGNED_LONGS_EQUAL(0, sum(played.gates.waitedForTurnByRank));
-    UNSIGNED_LONGS_EQUAL(0, sum(played.quotas.putOffByRank));
+    UNSIGNED_LONGS_EQUAL(0, sum(played.quotas.deferredByRank));
     CHECK_TRUE(inTime(played.served.ranks[0]) < 0.5);
 }
 
--- a/tests/tenancy/QuotaStoreReturnTest.cpp
+++ b/tests/tenancy/QuotaStoreReturnTest.cpp
@@ -68,7 +68,7 @@
 
     std::uint32_t granted() const {
         std::uint32_t units = 0;
-        for (const QuotaAnswer& answer : answers) {
+        for (const QuotaResponse& answer : answers) {
             units += answer.granted;
         }
         return units;
--- a/tests/tenancy/RecordPartsTest.cpp
+++ b/tests/tenancy/RecordPartsTest.cpp
@@ -20,7 +20,7 @@
 
 TEST_GROUP(RecordParts) {
     const TimePoint start{std::chrono::hours(1)};
-    const NodeLife deputy{NodeName("n3"), "n3/1"};
+    const NodeIncarnation deputy{NodeName("n3"), "n3/1"};
     RecordParts parts;
 
     QuotaShardRecord recordWithDeputy() const {
--- a/tests/tenancy/ShardFixture.h
+++ b/tests/tenancy/ShardFixture.h
@@ -21,7 +21,7 @@
 inline const TenantQuota kShardQuota{25, 25};
 
 /** Store that completes its calls when the test says so. */
-class HeldStore final : public QuotaShardStore {
+class ManualShardStore final : public QuotaShardStore {
 public:
     void load(std::uint32_t /*shard*/, std::function<void(const LoadedShard&)> callback) override {
         loads.push_back(std::move(callback));
@@ -46,11 +46,11 @@
 };
 
 /** Records the messages to other nodes. */
-class SentQuestions final : public QuotaQuestions {
+class RecordingRequestSender final : public QuotaRequestSender {
 public:
     bool canReach(const NodeName& /*node*/) const override { return reachable; }
-    void askForQuota(const NodeName& /*node*/, std::uint64_t number,
-                     const QuotaQuestion& asked) override {
+    void sendQuotaRequest(const NodeName& /*node*/, std::uint64_t number,
+                          const QuotaRequest& asked) override {
         questions.push_back(asked);
         lastNumber = number;
     }
@@ -61,7 +61,7 @@
     }
 
     bool reachable = true;
-    std::vector<QuotaQuestion> questions;
+    std::vector<QuotaRequest> questions;
     std::vector<LedgerUpdate> updates;
     std::uint64_t lastNumber = 0;
 };
@@ -70,8 +70,8 @@
 class ShardFixture : public Utest {
 public:
     testing::ManualClock clock;
-    HeldStore store;
-    SentQuestions sent;
+    ManualShardStore store;
+    RecordingRequestSender sent;
     QuotaCalls calls{sent};
     StoreEra era{clock};
     QuotaStatistics statistics;
@@ -79,7 +79,7 @@
     TenantDirectory tenants{1, {{kShardTenant, kShardQuota, {}}}, {}};
     std::vector<pooling::ProxyNode> peers;
     std::unique_ptr<QuotaShard> shard;
-    std::vector<QuotaAnswer> answers;
+    std::vector<QuotaResponse> answers;
 
     void setup() override {
         shard = std::make_unique<QuotaShard>(
@@ -99,12 +99,12 @@
     }
 
     void ask(std::uint32_t units, bool leaderSilent = false) {
-        QuotaQuestion question;
+        QuotaRequest question;
         question.tenant = kShardTenant;
         question.wanted = units;
         question.usableFor = std::chrono::milliseconds(500);
         question.leaderSilent = leaderSilent;
-        shard->ask(question, [this](const QuotaAnswer& answer) { answers.push_back(answer); });
+        shard->ask(question, [this](const QuotaResponse& answer) { answers.push_back(answer); });
     }
 
     static LoadedShard loadedRecord(const char* leader, const char* standby,
--- a/tests/tenancy/ShardLeaderTest.cpp
+++ b/tests/tenancy/ShardLeaderTest.cpp
@@ -139,7 +139,7 @@
     calls.onAck(sent.lastNumber - 1, LedgerAck{true, "n2/1"});
     LONGS_EQUAL(1, store.saved.size());
     calls.onAck(sent.lastNumber, LedgerAck{true, "n2/1"});
-    CHECK_TRUE(store.saved.back().standby == (NodeLife{NodeName("n2"), "n2/1"}));
+    CHECK_TRUE(store.saved.back().standby == (NodeIncarnation{NodeName("n2"), "n2/1"}));
     const std::size_t before = answers.size();
     ask(1);
     LONGS_EQUAL(before, answers.size());
@@ -191,7 +191,7 @@
     store.finishLoad(loadedRecord("n2/1", "", 7));
     LONGS_EQUAL(1, sent.questions.size());
     UNSIGNED_LONGS_EQUAL(1, sent.questions[0].hops);
-    QuotaAnswer answer;
+    QuotaResponse answer;
     answer.granted = 3;
     answer.leader = NodeName("n2");
     calls.onAnswer(sent.lastNumber, answer);
@@ -230,7 +230,7 @@
 /** @return total units granted in response to many requests. */
 std::uint32_t granted() const {
     std::uint32_t units = 0;
-    for (const QuotaAnswer& answer : answers) {
+    for (const QuotaResponse& answer : answers) {
         units += answer.granted;
     }
     return units;
@@ -242,7 +242,7 @@
     LONGS_EQUAL(1, store.saved.size());
     const QuotaShardRecord& written = store.saved[0];
     UNSIGNED_LONGS_EQUAL(7, written.version.revision);
-    CHECK_TRUE(written.leader == (NodeLife{NodeName("n2"), "n2/1"}));
+    CHECK_TRUE(written.leader == (NodeIncarnation{NodeName("n2"), "n2/1"}));
     CHECK_TRUE(written.tenants == loadedRecord("n2/1", "n3/1", 7).record.tenants);
     // No later write of this incarnation can be mistaken for this one.
     UNSIGNED_LONGS_EQUAL(7, written.deputies.at(0).replacedVersion);
@@ -274,19 +274,19 @@
     store.finishSave({StoreOutcome::Done, {0, 13}});
     clock.advance(milliseconds(1500));
     for (std::uint64_t number = 1; number <= 40; ++number) {
-        QuotaQuestion question;
+        QuotaRequest question;
         question.tenant = kTenant;
         question.wanted = 20;
         question.usableFor = milliseconds(500);
         question.settled.push_back({{12, number}, 0, milliseconds(0)});
-        shard->ask(question, [this](const QuotaAnswer& answer) { answers.push_back(answer); });
+        shard->ask(question, [this](const QuotaResponse& answer) { answers.push_back(answer); });
         clock.advance(milliseconds(100));
         if (!store.saves.empty()) {
             store.finishSave({StoreOutcome::Done, {0, 13 + number}});
         }
     }
     std::uint32_t granted = 0;
-    for (const QuotaAnswer& answer : answers) {
+    for (const QuotaResponse& answer : answers) {
         granted += answer.granted;
         CHECK_TRUE(answer.batch.term != 12);
     }
@@ -388,7 +388,7 @@
     clock.advance(milliseconds(250));
     ask(1);
     UNSIGNED_LONGS_EQUAL(2, granted());
-    QuotaAnswer there;
+    QuotaResponse there;
     there.leader = NodeName("n2");
     calls.onAnswer(sent.lastNumber, there);
     const DeputyPart& part = store.saved.back().deputies.at(0);
--- a/tests/tenancy/TenantGateTest.cpp
+++ b/tests/tenancy/TenantGateTest.cpp
@@ -30,21 +30,21 @@
     std::uint64_t opened = 0;
 };
 
-class NoLinks final : public QuotaQuestions, public QuotaAnswers {
+class NoLinks final : public QuotaRequestSender, public QuotaResponseSender {
 public:
     bool canReach(const NodeName& /*node*/) const override { return true; }
-    void askForQuota(const NodeName& /*node*/, std::uint64_t question,
-                     const QuotaQuestion& asked) override {
+    void sendQuotaRequest(const NodeName& /*node*/, std::uint64_t question,
+                          const QuotaRequest& asked) override {
         lastQuestion = question;
         lastAsked = asked;
     }
     void updateLedger(const NodeName& /*node*/, std::uint64_t /*question*/,
                       const LedgerUpdate& /*update*/) override {}
-    void answerQuota(std::uint64_t /*asker*/, const QuotaAnswer& /*answer*/) override {}
+    void sendQuotaResponse(std::uint64_t /*asker*/, const QuotaResponse& /*answer*/) override {}
     void acknowledgeLedger(std::uint64_t /*asker*/, const LedgerAck& /*ack*/) override {}
 
     std::uint64_t lastQuestion = 0;
-    QuotaQuestion lastAsked;
+    QuotaRequest lastAsked;
 };
 
 Tenant tenant(const char* name, const char* credential, double rate = 1000) {
@@ -114,13 +114,13 @@
     }
     /** The leader answers the newest question. */
     void answer(std::uint32_t granted, Duration retryAfter = {}) {
-        QuotaAnswer answer;
+        QuotaResponse answer;
         answer.granted = granted;
         answer.batch = {1, links.lastQuestion};
         answer.retryAfter = retryAfter;
         answer.scarce = true;
         answer.leader = NodeName("m1");
-        quotas.onQuotaAnswer(links.lastQuestion, answer);
+        quotas.onQuotaResponse(links.lastQuestion, answer);
     }
     /** @return units that the newest question wants of a rank: part 0 of those that may wait, 1 of
      * those in turn, 2 of those of now only. */
@@ -277,8 +277,8 @@
 TEST(TenantGate, AStatementWaitsForTheAnswerOfTheAccountingNode) {
     beginWithAccountingNode();
     CHECK_TRUE(replies.empty());
-    quotas.onQuotaAnswer(links.lastQuestion,
-                         QuotaAnswer{false, {1, 1}, 1, {}, false, NodeName("m1"), {}});
+    quotas.onQuotaResponse(links.lastQuestion,
+                           QuotaResponse{false, {1, 1}, 1, {}, false, NodeName("m1"), {}});
     LONGS_EQUAL(1, replies.size());
     CHECK_TRUE(replies.back().succeeded());
 }
