--- a/src/link/forwarding/QuestionCodec.cpp
+++ b/src/link/forwarding/QuestionCodec.cpp
@@ -330,7 +330,7 @@
     gen::LedgerUpdateRequest record;
     record.question = static_cast<std::int64_t>(message.question);
     record.shard = static_cast<std::int32_t>(update.shard);
-    record.leaderLife = update.leaderLife;
+    record.leaderLife = update.leaderIncarnation;
     record.copy = static_cast<std::int64_t>(update.copy);
     record.sequence = static_cast<std::int64_t>(update.sequence);
     record.whole = update.whole;
@@ -359,7 +359,7 @@
     message.question = static_cast<std::uint64_t>(record.question);
     tenancy::LedgerUpdate& update = message.ledgerUpdate;
     update.shard = static_cast<std::uint32_t>(record.shard);
-    update.leaderLife = record.leaderLife;
+    update.leaderIncarnation = record.leaderLife;
     update.copy = static_cast<std::uint64_t>(record.copy);
     update.sequence = static_cast<std::uint64_t>(record.sequence);
     update.whole = record.whole;
@@ -380,7 +380,7 @@
     gen::LedgerUpdateReply record;
     record.question = static_cast<std::int64_t>(message.question);
     record.accepted = message.ledgerAck.accepted;
-    record.life = message.ledgerAck.life;
+    record.life = message.ledgerAck.incarnation;
     return record;
 }
 
--- a/src/tenancy/LedgerCopy.cpp
+++ b/src/tenancy/LedgerCopy.cpp
@@ -9,25 +9,25 @@
 
 }  // namespace
 
-bool LedgerCopy::take(const LedgerUpdate& update, const WindowOf& windowOf, TimePoint now) {
+bool LedgerCopy::apply(const LedgerUpdate& update, const WindowOf& windowOf, TimePoint now) {
     if (_sealed) {
         return false;
     }
     // A message of an older copy may still arrive over a link that has since been lost.
-    const bool isNewer = !isOf(update.leaderLife) || update.copy > _copy;
+    const bool isNewer = !isOf(update.leaderIncarnation) || update.copy > _copy;
     if (update.whole && isNewer) {
-        _leaderLife = update.leaderLife;
+        _leaderIncarnation = update.leaderIncarnation;
         _copy = update.copy;
         _sequence = update.sequence - 1;
         _released = false;
         _ledgers.clear();
     }
     const bool isNext = _copy == update.copy && update.sequence == _sequence + 1;
-    if (!isOf(update.leaderLife) || !isNext) {
+    if (!isOf(update.leaderIncarnation) || !isNext) {
         return false;
     }
     _sequence = update.sequence;
-    _heardAt = now;
+    _lastUpdateAt = now;
     if (update.offered) {
         _offeredUntil = now + kOfferValidity;
     }
--- a/src/tenancy/LedgerCopy.h
+++ b/src/tenancy/LedgerCopy.h
@@ -20,7 +20,7 @@
 
     /** @return whether the copy now holds the batches of this update and of all updates before it.
      */
-    bool take(const LedgerUpdate& update, const WindowOf& windowOf, TimePoint now);
+    bool apply(const LedgerUpdate& update, const WindowOf& windowOf, TimePoint now);
 
     /** Stops acknowledging updates. The leader confirms no batch to a requesting node without the
      * acknowledgement, so the copy holds every batch that was confirmed. */
@@ -31,8 +31,8 @@
 
     /** @return whether the copy holds all batches that this incarnation of a leader has ever sent
      * in a response. */
-    bool isOf(const std::string& leaderLife) const {
-        return !leaderLife.empty() && _leaderLife == leaderLife;
+    bool isOf(const std::string& leaderIncarnation) const {
+        return !leaderIncarnation.empty() && _leaderIncarnation == leaderIncarnation;
     }
 
     /** @return whether the leader has shut down as planned. */
@@ -42,20 +42,20 @@
     bool isOffered(TimePoint now) const { return _released || now < _offeredUntil; }
 
     /** @return when the last update of the leader was accepted. */
-    TimePoint heardAt() const { return _heardAt; }
+    TimePoint lastUpdateAt() const { return _lastUpdateAt; }
     bool isSealed() const { return _sealed; }
 
     const ShardLedgers& ledgers() const { return _ledgers; }
 
 private:
-    std::string _leaderLife;
+    std::string _leaderIncarnation;
     std::uint64_t _copy = 0;
     /** Sequence number of the newest accepted update. */
     std::uint64_t _sequence = 0;
     bool _sealed = false;
     bool _released = false;
     TimePoint _offeredUntil{};
-    TimePoint _heardAt{};
+    TimePoint _lastUpdateAt{};
     ShardLedgers _ledgers;
 };
 
--- a/src/tenancy/QuotaMessages.h
+++ b/src/tenancy/QuotaMessages.h
@@ -101,7 +101,7 @@
     std::uint32_t shard = 0;
     /** Incarnation of the leader, and the number of the copy among the copies that this incarnation
      * has begun. */
-    std::string leaderLife;
+    std::string leaderIncarnation;
     std::uint64_t copy = 0;
     /** Number of the update within its copy, starting at 1. The standby accepts no update after a
      * gap. */
@@ -123,7 +123,7 @@
     /** The standby has added the batches to its copy. */
     bool accepted = false;
     /** Incarnation of the standby. */
-    std::string life;
+    std::string incarnation;
 
     bool operator==(const LedgerAck&) const = default;
 };
@@ -137,12 +137,12 @@
     virtual bool canReach(const NodeName& node) const = 0;
 
     /** Exactly one onQuotaResponse call follows. It carries no response when the link is lost. */
-    virtual void sendQuotaRequest(const NodeName& node, std::uint64_t question,
-                                  const QuotaRequest& asked) = 0;
+    virtual void sendQuotaRequest(const NodeName& node, std::uint64_t requestId,
+                                  const QuotaRequest& request) = 0;
 
     /** Exactly one onLedgerAck call follows. It carries no acknowledgement when the link is lost.
      * Updates arrive in order. */
-    virtual void updateLedger(const NodeName& node, std::uint64_t question,
+    virtual void updateLedger(const NodeName& node, std::uint64_t requestId,
                               const LedgerUpdate& update) = 0;
 };
 
@@ -151,8 +151,8 @@
 public:
     virtual ~QuotaResponseSender() = default;
 
-    virtual void sendQuotaResponse(std::uint64_t asker, const QuotaResponse& answer) = 0;
-    virtual void acknowledgeLedger(std::uint64_t asker, const LedgerAck& ack) = 0;
+    virtual void sendQuotaResponse(std::uint64_t requester, const QuotaResponse& response) = 0;
+    virtual void acknowledgeLedger(std::uint64_t requester, const LedgerAck& ack) = 0;
 };
 
 /** Receives requests and responses from other nodes. */
@@ -160,11 +160,11 @@
 public:
     virtual ~QuotaEvents() = default;
 
-    virtual void onQuotaRequest(std::uint64_t asker, const QuotaRequest& question) = 0;
-    virtual void onQuotaResponse(std::uint64_t question,
-                                 const std::optional<QuotaResponse>& answer) = 0;
-    virtual void onLedgerUpdate(std::uint64_t asker, const LedgerUpdate& update) = 0;
-    virtual void onLedgerAck(std::uint64_t question, const std::optional<LedgerAck>& ack) = 0;
+    virtual void onQuotaRequest(std::uint64_t requester, const QuotaRequest& request) = 0;
+    virtual void onQuotaResponse(std::uint64_t requestId,
+                                 const std::optional<QuotaResponse>& response) = 0;
+    virtual void onLedgerUpdate(std::uint64_t requester, const LedgerUpdate& update) = 0;
+    virtual void onLedgerAck(std::uint64_t requestId, const std::optional<LedgerAck>& ack) = 0;
 };
 
 }  // namespace coralhoist::tenancy
--- a/src/tenancy/QuotaRequestQueue.cpp
+++ b/src/tenancy/QuotaRequestQueue.cpp
@@ -9,7 +9,7 @@
 
 /** Longest time for which a request is queued for replication to the standby, for the store or for
  * the record. */
-constexpr Duration kHeldFor = milliseconds(250);
+constexpr Duration kQueueTimeout = milliseconds(250);
 constexpr std::size_t kMaxQueuedRequests = 512;
 /** Retry delay that a request gets when it is declined because the queue is full or its timeout has
  * passed. */
@@ -25,36 +25,36 @@
 }
 
 bool QueuedQuotaRequest::isOverdue(TimePoint now) const {
-    return now - since >= kHeldFor;
+    return now - since >= kQueueTimeout;
 }
 
-void QuotaRequestQueue::hold(QueuedQuotaRequest held) {
-    if (_questions.size() >= kMaxQueuedRequests) {
-        decline(held, kRetryAfterQueueing);
+void QuotaRequestQueue::add(QueuedQuotaRequest queued) {
+    if (_requests.size() >= kMaxQueuedRequests) {
+        decline(queued, kRetryAfterQueueing);
         return;
     }
-    _questions.push_back(std::move(held));
+    _requests.push_back(std::move(queued));
 }
 
-void QuotaRequestQueue::decline(const QueuedQuotaRequest& held, Duration retryAfter) {
+void QuotaRequestQueue::decline(const QueuedQuotaRequest& queued, Duration retryAfter) {
     ++_declined;
-    held.reply(declinedResponse(retryAfter));
+    queued.reply(declinedResponse(retryAfter));
 }
 
 void QuotaRequestQueue::declineOverdue(TimePoint now) {
-    while (!_questions.empty() && _questions.front().isOverdue(now)) {
-        const QueuedQuotaRequest overdue = std::move(_questions.front());
-        _questions.pop_front();
+    while (!_requests.empty() && _requests.front().isOverdue(now)) {
+        const QueuedQuotaRequest overdue = std::move(_requests.front());
+        _requests.pop_front();
         decline(overdue, kRetryAfterQueueing);
     }
 }
 
 std::deque<QueuedQuotaRequest> QuotaRequestQueue::takeAll() {
-    return std::exchange(_questions, {});
+    return std::exchange(_requests, {});
 }
 
 TimePoint QuotaRequestQueue::dueAt() const {
-    return _questions.empty() ? TimePoint::max() : _questions.front().since + kHeldFor;
+    return _requests.empty() ? TimePoint::max() : _requests.front().since + kQueueTimeout;
 }
 
 }  // namespace coralhoist::tenancy
--- a/src/tenancy/QuotaRequestQueue.h
+++ b/src/tenancy/QuotaRequestQueue.h
@@ -15,7 +15,7 @@
 
 /** A queued request and the callback for its response. */
 struct QueuedQuotaRequest {
-    QuotaRequest question;
+    QuotaRequest request;
     QuotaReply reply;
     TimePoint since{};
 
@@ -31,16 +31,16 @@
     explicit QuotaRequestQueue(std::uint64_t& declined) : _declined(declined) {}
 
     /** Queues the request, or declines it when the queue is full. */
-    void hold(QueuedQuotaRequest held);
-    void decline(const QueuedQuotaRequest& held, Duration retryAfter);
+    void add(QueuedQuotaRequest queued);
+    void decline(const QueuedQuotaRequest& queued, Duration retryAfter);
     void declineOverdue(TimePoint now);
 
     /** Removes and returns all queued requests. A reply callback may submit the next request at
      * once, so the requests are removed before any of them is answered. */
     std::deque<QueuedQuotaRequest> takeAll();
 
-    const std::deque<QueuedQuotaRequest>& all() const { return _questions; }
-    bool empty() const { return _questions.empty(); }
+    const std::deque<QueuedQuotaRequest>& all() const { return _requests; }
+    bool empty() const { return _requests.empty(); }
 
     /** @return when the oldest request reaches its timeout; `TimePoint::max()` for an empty queue.
      */
@@ -48,7 +48,7 @@
 
 private:
     std::uint64_t& _declined;
-    std::deque<QueuedQuotaRequest> _questions;
+    std::deque<QueuedQuotaRequest> _requests;
 };
 
 }  // namespace coralhoist::tenancy
--- a/src/tenancy/QuotaShard.cpp
+++ b/src/tenancy/QuotaShard.cpp
@@ -27,29 +27,30 @@
 
 }  // namespace
 
-void QuotaShard::ask(const QuotaRequest& question, QuotaReply reply) {
+void QuotaShard::ask(const QuotaRequest& request, QuotaReply reply) {
     if (leads()) {
-        _leader->ask(question, std::move(reply));
+        _leader->ask(request, std::move(reply));
         return;
     }
     const TimePoint now = _context.clock.now();
-    const bool isProbe = question.wanted == 0 && question.settled.empty();
+    const bool isProbe = request.wanted == 0 && request.settled.empty();
     if (isProbe && !isDeputy() && now - _probedAt < kProbeInterval) {
         reply(declinedResponse(kRetryPause));
         return;
     }
     _probedAt = isProbe ? now : _probedAt;
-    _tenant = question.tenant;
+    _tenant = request.tenant;
     noteReach(now);
     if (isDeputy()) {
-        _deputy->ask(question, std::move(reply));
+        _deputy->ask(request, std::move(reply));
         return;
     }
-    relayOrResolveLeader({question, std::move(reply), now}, now);
+    relayOrResolveLeader({request, std::move(reply), now}, now);
 }
 
-bool QuotaShard::canReach(const NodeIncarnation& life) const {
-    return life.exists() && life.node != _context.self.node && _context.calls.canReach(life.node);
+bool QuotaShard::canReach(const NodeIncarnation& incarnation) const {
+    return incarnation.exists() && incarnation.node != _context.self.node &&
+           _context.calls.canReach(incarnation.node);
 }
 
 /** @return the node to which a request is forwarded, according to the known record. */
@@ -68,61 +69,64 @@
 
 /** @return whether the requesting node gets no response from the leader and this node, its standby,
  * gets no updates from it. */
-bool QuotaShard::isSilentToStandby(const QueuedQuotaRequest& held, TimePoint now) const {
-    return held.question.leaderSilent && _known && _copy.isOf(_known->record().leader.life) &&
-           now - _copy.heardAt() >= kLeaderSilence;
+bool QuotaShard::isSilentToStandby(const QueuedQuotaRequest& queued, TimePoint now) const {
+    return queued.request.leaderSilent && _known &&
+           _copy.isOf(_known->record().leader.incarnation) &&
+           now - _copy.lastUpdateAt() >= kLeaderSilence;
 }
 
-void QuotaShard::relayOrResolveLeader(QueuedQuotaRequest held, TimePoint now) {
+void QuotaShard::relayOrResolveLeader(QueuedQuotaRequest queued, TimePoint now) {
     const std::optional<NodeName> target = relayTarget();
-    const bool mayForward = target && held.question.hops < kMostQuotaHops;
+    const bool mayForward = target && queued.request.hops < kMostQuotaHops;
     const bool isWaitedForLong = now >= deputyDue();
-    if (mayForward && !isWaitedForLong && !_copy.isOffered(now) && !isSilentToStandby(held, now)) {
-        relay(*target, std::move(held));
+    if (mayForward && !isWaitedForLong && !_copy.isOffered(now) &&
+        !isSilentToStandby(queued, now)) {
+        relay(*target, std::move(queued));
         return;
     }
-    _held.hold(std::move(held));
+    _queue.add(std::move(queued));
     resolveLeader(now);
 }
 
 /** Forwards the request. A declined response shows that the record has changed or that the node
  * can't determine who leads. */
-void QuotaShard::relay(const NodeName& node, QueuedQuotaRequest held) {
+void QuotaShard::relay(const NodeName& node, QueuedQuotaRequest queued) {
     ++_context.statistics.relayed;
-    QuotaRequest question = held.question;
-    ++question.hops;
-    question.leaderSilent = question.leaderSilent || node != _known->record().leader.node;
+    QuotaRequest request = queued.request;
+    ++request.hops;
+    request.leaderSilent = request.leaderSilent || node != _known->record().leader.node;
     const NodeIncarnation& standby = _known->record().standby;
-    const bool isProbe = question.wanted == 0;
-    if ((isProbe || question.leaderSilent) && node != standby.node && canReach(standby)) {
+    const bool isProbe = request.wanted == 0;
+    if ((isProbe || request.leaderSilent) && node != standby.node && canReach(standby)) {
         // Probing the standby in parallel finds out without further delay whether it is unreachable
         // too.
-        probe(standby.node, question, [](const QuotaResponse& /*answer*/) {});
-    }
-    _context.calls.ask(node, question,
-                       [this, alive = std::weak_ptr<bool>(_alive), node, held = std::move(held)](
-                           const std::optional<QuotaResponse>& answer) mutable {
-                           if (alive.expired()) {
-                               return;
-                           }
-                           if (answer && !answer->declined) {
-                               _cutOffSince.reset();
-                               held.reply(*answer);
-                               return;
-                           }
-                           const TimePoint now = _context.clock.now();
-                           requireReload(now);
-                           noteReach(now);
-                           if (answer && _known && node == _known->record().leader.node) {
-                               _leaderDeclinedAt = now;
-                           }
-                           if (answer || (held.isOverdue(now) && !waitsToBeDeputy())) {
-                               decline(held, answer ? answer->retryAfter : kRetryPause);
-                           } else {
-                               _held.hold(std::move(held));
-                           }
-                           resolveLeader(now);
-                       });
+        probe(standby.node, request, [](const QuotaResponse& /*answer*/) {});
+    }
+    _context.calls.ask(
+        node, request,
+        [this, alive = std::weak_ptr<bool>(_alive), node,
+         queued = std::move(queued)](const std::optional<QuotaResponse>& answer) mutable {
+            if (alive.expired()) {
+                return;
+            }
+            if (answer && !answer->declined) {
+                _cutOffSince.reset();
+                queued.reply(*answer);
+                return;
+            }
+            const TimePoint now = _context.clock.now();
+            requireReload(now);
+            noteReach(now);
+            if (answer && _known && node == _known->record().leader.node) {
+                _leaderDeclinedAt = now;
+            }
+            if (answer || (queued.isOverdue(now) && !waitsToBeDeputy())) {
+                decline(queued, answer ? answer->retryAfter : kRetryPause);
+            } else {
+                _queue.add(std::move(queued));
+            }
+            resolveLeader(now);
+        });
 }
 
 /** Requires a new read of the record before the next decision. */
@@ -132,13 +136,13 @@
     }
 }
 
-void QuotaShard::decline(const QueuedQuotaRequest& held, Duration retryAfter) {
-    _held.decline(held, std::clamp(retryAfter, kRetryPause, kLongestRetry));
+void QuotaShard::decline(const QueuedQuotaRequest& queued, Duration retryAfter) {
+    _queue.decline(queued, std::clamp(retryAfter, kRetryPause, kLongestRetry));
 }
 
-void QuotaShard::declineHeld(Duration retryAfter) {
-    for (const QueuedQuotaRequest& held : _held.takeAll()) {
-        decline(held, retryAfter);
+void QuotaShard::declineQueued(Duration retryAfter) {
+    for (const QueuedQuotaRequest& queued : _queue.takeAll()) {
+        decline(queued, retryAfter);
     }
 }
 
@@ -149,15 +153,15 @@
         _notBefore = std::max(_notBefore, deputyDue());
         return;
     }
-    for (QueuedQuotaRequest& held : _held.takeAll()) {
+    for (QueuedQuotaRequest& queued : _queue.takeAll()) {
         if (leads()) {
-            _leader->ask(held.question, std::move(held.reply));
+            _leader->ask(queued.request, std::move(queued.reply));
         } else if (isDeputy()) {
-            _deputy->ask(held.question, std::move(held.reply));
-        } else if (target && held.question.hops < kMostQuotaHops) {
-            relay(*target, std::move(held));
+            _deputy->ask(queued.request, std::move(queued.reply));
+        } else if (target && queued.request.hops < kMostQuotaHops) {
+            relay(*target, std::move(queued));
         } else {
-            decline(held, kRetryPause);
+            decline(queued, kRetryPause);
         }
     }
 }
@@ -189,7 +193,7 @@
 void QuotaShard::onLoaded(const LoadedShard& loaded) {
     const TimePoint now = _context.clock.now();
     if (loaded.outcome != StoreOutcome::Done) {
-        declineHeld(kRetryPause);
+        declineQueued(kRetryPause);
         return;
     }
     if (!_known) {
@@ -206,7 +210,7 @@
     }
     noteReach(now);
     const bool isCopied =
-        _copy.isOf(loaded.record.leader.life) && loaded.record.standby == _context.self;
+        _copy.isOf(loaded.record.leader.incarnation) && loaded.record.standby == _context.self;
     if ((_copy.isSealed() || _copy.isReleased()) && !isCopied) {
         _copy.drop();
     }
@@ -232,9 +236,9 @@
     }
     const QuotaShardRecord& record = _known->record();
     const bool isSilent = std::any_of(
-        _held.all().begin(), _held.all().end(),
-        [this, now](const QueuedQuotaRequest& held) { return isSilentToStandby(held, now); });
-    return record.standby == _context.self && _copy.isOf(record.leader.life) &&
+        _queue.all().begin(), _queue.all().end(),
+        [this, now](const QueuedQuotaRequest& queued) { return isSilentToStandby(queued, now); });
+    return record.standby == _context.self && _copy.isOf(record.leader.incarnation) &&
            (_copy.isOffered(now) || !canReach(record.leader) || isSilent);
 }
 
@@ -305,7 +309,7 @@
     claimed.leader = _context.self;
     claimed.standby = {};
     claimed.tenants = leaderQuotas(_context, _known->parts, ledgers, now);
-    claimed.deputies = _known->parts.cleared(_context.terms.longestWindow(), now);
+    claimed.deputies = _known->parts.partsForNextVersion(_context.terms.longestWindow(), now);
     ++claimed.renewals;
     _claimedLedgers = std::move(ledgers);
     _claimedWithCopy = withCopy;
@@ -333,7 +337,7 @@
         lead(record, sentAt + kShardLease);
         dispatchQueued();
     } else if (saved.outcome == StoreOutcome::Unavailable) {
-        declineHeld(kRetryPause);
+        declineQueued(kRetryPause);
     } else {
         load(now);
     }
@@ -359,9 +363,9 @@
 LedgerAck QuotaShard::takeUpdate(const LedgerUpdate& update) {
     const TimePoint now = _context.clock.now();
     LedgerAck ack;
-    ack.life = _context.self.life;
+    ack.incarnation = _context.self.incarnation;
     const auto windowOf = [this](const TenantName& tenant) { return _context.windowOf(tenant); };
-    ack.accepted = !leads() && !_released && _copy.take(update, windowOf, now);
+    ack.accepted = !leads() && !_released && _copy.apply(update, windowOf, now);
     if (ack.accepted && _copy.isOffered(now)) {
         requireReload(now);
         resolveLeader(now);
@@ -382,8 +386,8 @@
 void QuotaShard::onTick(TimePoint now) {
     tickDeputy(now);
     if (_leader && _leader->hasEnded()) {
-        for (QueuedQuotaRequest& held : _leader->takeHeld()) {
-            _held.hold(std::move(held));
+        for (QueuedQuotaRequest& queued : _leader->takeQueued()) {
+            _queue.add(std::move(queued));
         }
         followSuccessor(now);
     }
@@ -391,8 +395,8 @@
         _leader->onTick(now);
         return;
     }
-    _held.declineOverdue(now);
-    if (!_held.empty() || _copy.isReleased()) {
+    _queue.declineOverdue(now);
+    if (!_queue.empty() || _copy.isReleased()) {
         resolveLeader(now);
     }
 }
@@ -403,8 +407,8 @@
     if (_leader) {
         return _leader->hasEnded() ? TimePoint::min() : std::min(deputy, _leader->nextTick());
     }
-    TimePoint next = std::min(deputy, _held.dueAt());
-    if (!_calling && (!_held.empty() || _copy.isReleased())) {
+    TimePoint next = std::min(deputy, _queue.dueAt());
+    if (!_calling && (!_queue.empty() || _copy.isReleased())) {
         next = std::min(next, _notBefore);
     }
     return next;
--- a/src/tenancy/QuotaShard.h
+++ b/src/tenancy/QuotaShard.h
@@ -34,10 +34,10 @@
 class QuotaShard {
 public:
     explicit QuotaShard(ShardContext context)
-        : _context(std::move(context)), _held(_context.statistics.declined) {}
+        : _context(std::move(context)), _queue(_context.statistics.declined) {}
 
     /** @param reply called once, synchronously or later. */
-    void ask(const QuotaRequest& question, QuotaReply reply);
+    void ask(const QuotaRequest& request, QuotaReply reply);
 
     LedgerAck takeUpdate(const LedgerUpdate& update);
 
@@ -62,7 +62,7 @@
         const QuotaShardRecord& record() const { return parts.record(); }
     };
 
-    void relayOrResolveLeader(QueuedQuotaRequest held, TimePoint now);
+    void relayOrResolveLeader(QueuedQuotaRequest queued, TimePoint now);
     bool reachesLeader() const;
     std::optional<NodeName> relayTarget() const;
     std::optional<NodeName> reachableDeputy() const;
@@ -70,9 +70,9 @@
     void becomeDeputy();
     void noteReach(TimePoint now);
     void tickDeputy(TimePoint now);
-    bool isSilentToStandby(const QueuedQuotaRequest& held, TimePoint now) const;
-    bool canReach(const NodeIncarnation& life) const;
-    void relay(const NodeName& node, QueuedQuotaRequest held);
+    bool isSilentToStandby(const QueuedQuotaRequest& queued, TimePoint now) const;
+    bool canReach(const NodeIncarnation& incarnation) const;
+    void relay(const NodeName& node, QueuedQuotaRequest queued);
     void resolveLeader(TimePoint now);
     void load(TimePoint now);
     void onLoaded(const LoadedShard& loaded);
@@ -86,14 +86,14 @@
     void lead(const QuotaShardRecord& record, TimePoint leaseUntil);
     ShardLedgers inheritedLedgers(TimePoint now) const;
     void requireReload(TimePoint now);
-    void decline(const QueuedQuotaRequest& held, Duration retryAfter);
-    void declineHeld(Duration retryAfter);
+    void decline(const QueuedQuotaRequest& queued, Duration retryAfter);
+    void declineQueued(Duration retryAfter);
     void dispatchQueued();
     bool waitsToBeDeputy() const;
     TimePoint deputyDue() const;
     void probeLeader(TimePoint now);
     void followSuccessor(TimePoint now);
-    void probe(const NodeName& node, QuotaRequest question, QuotaReply onAnswered);
+    void probe(const NodeName& node, QuotaRequest request, QuotaReply onAnswered);
 
     ShardContext _context;
     std::unique_ptr<ShardLeader> _leader;
@@ -122,7 +122,7 @@
     bool _calling = false;
     bool _released = false;
     TimePoint _notBefore{};
-    QuotaRequestQueue _held;
+    QuotaRequestQueue _queue;
     std::shared_ptr<bool> _alive = std::make_shared<bool>(true);
 };
 
--- a/src/tenancy/QuotaShardDeputy.cpp
+++ b/src/tenancy/QuotaShardDeputy.cpp
@@ -56,13 +56,13 @@
 }
 
 /** Sends a request without units, for which only the arrival of a response matters. */
-void QuotaShard::probe(const NodeName& node, QuotaRequest question, QuotaReply onAnswered) {
-    question.wanted = 0;
+void QuotaShard::probe(const NodeName& node, QuotaRequest request, QuotaReply onAnswered) {
+    request.wanted = 0;
     // A probe must not cause a standby to take over.
-    question.leaderSilent = false;
-    question.settled.clear();
-    question.wantedByRank.clear();
-    _context.calls.ask(node, question,
+    request.leaderSilent = false;
+    request.settled.clear();
+    request.wantedByRank.clear();
+    _context.calls.ask(node, request,
                        [alive = std::weak_ptr<bool>(_alive), onAnswered = std::move(onAnswered)](
                            const std::optional<QuotaResponse>& answer) {
                            if (!alive.expired() && answer && !answer->declined) {
@@ -79,11 +79,11 @@
         return;
     }
     _leaderProbedAt = now;
-    QuotaRequest question;
-    question.tenant = _tenant;
+    QuotaRequest request;
+    request.tenant = _tenant;
     // Leaves one hop, so that a standby may forward the probe.
-    question.hops = kMostQuotaHops - 1;
-    probe(*target, question, [this](const QuotaResponse& /*answer*/) {
+    request.hops = kMostQuotaHops - 1;
+    probe(*target, request, [this](const QuotaResponse& /*answer*/) {
         _cutOffSince.reset();
         if (isDeputy()) {
             _deputy->withdraw();
--- a/src/tenancy/QuotaShardRecord.h
+++ b/src/tenancy/QuotaShardRecord.h
@@ -20,10 +20,10 @@
 struct NodeIncarnation {
     NodeName node;
     /** Incarnation identifier, which differs after each start of the node. */
-    std::string life;
+    std::string incarnation;
 
     /** @return whether it names a node at all. */
-    bool exists() const { return !life.empty(); }
+    bool exists() const { return !incarnation.empty(); }
 
     bool operator==(const NodeIncarnation&) const = default;
 };
--- a/src/tenancy/RecordParts.cpp
+++ b/src/tenancy/RecordParts.cpp
@@ -73,16 +73,16 @@
     }
     std::map<std::string, Seen> seen;
     for (const DeputyPart& part : record.deputies) {
-        const auto before = _seen.find(part.holder.life);
+        const auto before = _seen.find(part.holder.incarnation);
         const bool isKnown = before != _seen.end() && before->second.part == part;
-        seen[part.holder.life] = {part, isKnown ? before->second.at : now};
+        seen[part.holder.incarnation] = {part, isKnown ? before->second.at : now};
     }
     _seen = std::move(seen);
     _record = record;
 }
 
 TimePoint RecordParts::seenAt(const DeputyPart& part, TimePoint now) const {
-    const auto found = _seen.find(part.holder.life);
+    const auto found = _seen.find(part.holder.incarnation);
     return found == _seen.end() ? now : found->second.at;
 }
 
@@ -173,7 +173,7 @@
                        });
 }
 
-std::vector<DeputyPart> RecordParts::cleared(Duration window, TimePoint now) const {
+std::vector<DeputyPart> RecordParts::partsForNextVersion(Duration window, TimePoint now) const {
     std::vector<DeputyPart> parts;
     for (const DeputyPart& part : _record.deputies) {
         const bool mayBeUsed = part.grants || allowsAnything(part);
--- a/src/tenancy/RecordParts.h
+++ b/src/tenancy/RecordParts.h
@@ -97,7 +97,7 @@
      * are reduced to counting units, and parts that neither allow nor count anything are removed. A
      * part that already only counts is copied unchanged, since its steps would be rounded up on
      * each rewrite. */
-    std::vector<DeputyPart> cleared(Duration window, TimePoint now) const;
+    std::vector<DeputyPart> partsForNextVersion(Duration window, TimePoint now) const;
 
     /** @return whether the record has room for the deputy's part or already holds it. */
     bool mayJoin(const NodeIncarnation& deputy) const;
--- a/src/tenancy/ShardLeader.cpp
+++ b/src/tenancy/ShardLeader.cpp
@@ -23,9 +23,9 @@
 constexpr double kAllowanceLow = 0.3;
 
 /** @return the units that the request asks for, the most urgent rank first. */
-std::vector<RankedWish> wishesOf(const QuotaRequest& question) {
-    const auto wanted = [&question](std::size_t index) {
-        return index < question.wantedByRank.size() ? question.wantedByRank[index] : 0;
+std::vector<RankedWish> wishesOf(const QuotaRequest& request) {
+    const auto wanted = [&request](std::size_t index) {
+        return index < request.wantedByRank.size() ? request.wantedByRank[index] : 0;
     };
     std::vector<RankedWish> wishes;
     for (std::uint32_t rank = 0; rank < settings::kAdmissionRanks; ++rank) {
@@ -39,8 +39,8 @@
 }
 
 /** @return how long the requested units are usable. */
-Duration usableFor(const QuotaRequest& question) {
-    return std::min(question.usableFor, kLongestQuotaLease);
+Duration usableFor(const QuotaRequest& request) {
+    return std::min(request.usableFor, kLongestQuotaLease);
 }
 
 }  // namespace
@@ -58,7 +58,7 @@
       _allowances(_parts.record().tenants),
       _savedAt(leaseUntil - kShardLease),
       _askedAt(context.clock.now()),
-      _held(context.statistics.declined) {}
+      _queue(context.statistics.declined) {}
 
 bool ShardLeader::mayGrant(TimePoint now) const {
     return !_ended && !_withdrawn && now < _leaseUntil && _standbyState != StandbyState::Leaving;
@@ -68,44 +68,44 @@
     return _ledgers.try_emplace(tenant, _context.windowOf(tenant)).first->second;
 }
 
-void ShardLeader::ask(const QuotaRequest& question, QuotaReply reply) {
+void ShardLeader::ask(const QuotaRequest& request, QuotaReply reply) {
     const TimePoint now = _context.clock.now();
     _askedAt = now;
-    for (const BatchSettlement& settlement : question.settled) {
-        const std::uint32_t unused = ledgerOf(question.tenant).settle(settlement, now);
-        _pacers[question.tenant].giveBack(unused);
+    for (const BatchSettlement& settlement : request.settled) {
+        const std::uint32_t unused = ledgerOf(request.tenant).settle(settlement, now);
+        _pacers[request.tenant].giveBack(unused);
     }
-    if (question.wanted > 0 && _context.tenants().find(question.tenant) != nullptr) {
+    if (request.wanted > 0 && _context.tenants().find(request.tenant) != nullptr) {
         // A deputy writes allowances only for tenants for which it has received requests; the
         // ledger marks them.
-        ledgerOf(question.tenant);
+        ledgerOf(request.tenant);
     }
-    QueuedQuotaRequest held{question, std::move(reply), now};
+    QueuedQuotaRequest queued{request, std::move(reply), now};
     if (mayGrant(now)) {
-        answer(std::move(held), now);
-    } else if (mayForward(question)) {
-        forwardToSuccessor(held);
+        answer(std::move(queued), now);
+    } else if (mayForward(request)) {
+        forwardToSuccessor(queued);
     } else {
-        _held.hold(std::move(held));
+        _queue.add(std::move(queued));
     }
     if (wantsSave(now)) {
         save(now);
     }
 }
 
-bool ShardLeader::mayForward(const QuotaRequest& question) const {
+bool ShardLeader::mayForward(const QuotaRequest& request) const {
     return !_successor.value().empty() && _standbyState == StandbyState::Leaving &&
-           question.hops < kMostQuotaHops;
+           request.hops < kMostQuotaHops;
 }
 
 /** Forwards the request to the probable new leader. While this node can't write the record, it
  * can't read from it who leads either. */
-void ShardLeader::forwardToSuccessor(const QueuedQuotaRequest& held) {
+void ShardLeader::forwardToSuccessor(const QueuedQuotaRequest& queued) {
     ++_context.statistics.relayed;
-    QuotaRequest question = held.question;
-    ++question.hops;
-    _context.calls.ask(_successor, question,
-                       [reply = held.reply](const std::optional<QuotaResponse>& answer) {
+    QuotaRequest request = queued.request;
+    ++request.hops;
+    _context.calls.ask(_successor, request,
+                       [reply = queued.reply](const std::optional<QuotaResponse>& answer) {
                            reply(answer.value_or(declinedResponse(kRetryAfterDecline)));
                        });
 }
@@ -139,23 +139,22 @@
 }
 
 /** @return whether ranks matter to both the request and this node. */
-bool ShardLeader::usesRanks(const QuotaRequest& question) const {
-    return !question.wantedByRank.empty() && _context.ranks != nullptr &&
+bool ShardLeader::usesRanks(const QuotaRequest& request) const {
+    return !request.wantedByRank.empty() && _context.ranks != nullptr &&
            _context.ranks->ranksDiffer;
 }
 
-ShardLeader::RankedGrant ShardLeader::grantOf(const Tenant& tenant, const QuotaRequest& question,
+ShardLeader::RankedGrant ShardLeader::grantOf(const Tenant& tenant, const QuotaRequest& request,
                                               std::uint32_t units, TimePoint now) {
-    if (usesRanks(question)) {
-        return pacedByRank(tenant, question, units, now);
+    if (usesRanks(request)) {
+        return pacedByRank(tenant, request, units, now);
     }
     return {paced(tenant, units, now), {}, {}};
 }
 
 /** @param units most units to grant, by ledger and allowance. */
-ShardLeader::RankedGrant ShardLeader::pacedByRank(const Tenant& tenant,
-                                                  const QuotaRequest& question, std::uint32_t units,
-                                                  TimePoint now) {
+ShardLeader::RankedGrant ShardLeader::pacedByRank(const Tenant& tenant, const QuotaRequest& request,
+                                                  std::uint32_t units, TimePoint now) {
     UnitPacer& pacer = _pacers[tenant.name];
     UnitTurns& turns = _turns[tenant.name];
     pacer.available(_context.terms, tenant.quota, now);
@@ -167,7 +166,7 @@
     // ranks applies to these units in the same way.
     const std::uint32_t left = std::min(freeUnits(tenant, now), _allowances.left(tenant.name));
     paced.tokens = std::min<double>(paced.tokens, left);
-    for (const RankedWish& asked : wishesOf(question)) {
+    for (const RankedWish& asked : wishesOf(request)) {
         const std::uint32_t inTurn = turns.claim(asked.rank, asked.inTurn, now);
         // Units whose reservation is unknown here, as with a new leader, count as new requests.
         const std::uint32_t fresh = asked.fresh + asked.inTurn - inTurn;
@@ -182,7 +181,7 @@
         statistics.turnsByRank[wish.rank] += wish.inTurn;
         statistics.turnsKeptByRank[wish.rank] += std::min(taken, wish.inTurn);
         if (taken < wish.units()) {
-            granted.putOff.push_back(wish.without(taken));
+            granted.deferred.push_back(wish.without(taken));
         }
     }
     return granted;
@@ -200,10 +199,10 @@
  * rank waits.
  * @return the time until the most urgent deferred units can be granted.
  */
-Duration ShardLeader::putOff(const Tenant& tenant, const RankedGrant& granted, TimePoint now) {
+Duration ShardLeader::defer(const Tenant& tenant, const RankedGrant& granted, TimePoint now) {
     UnitTurns& turns = _turns[tenant.name];
     std::optional<Duration> first;
-    for (const RankedWish& wish : granted.putOff) {
+    for (const RankedWish& wish : granted.deferred) {
         const std::uint32_t before = turns.promisedUpTo(wish.rank, now);
         const Duration paced = turns.untilGranted(wish, _pacers[tenant.name].paced(), now);
         const Duration freed = untilFree(tenant, wish.units() + before, now);
@@ -220,34 +219,34 @@
     return std::min(first.value_or(Duration(0)), kLongestDeferral);
 }
 
-void ShardLeader::answer(QueuedQuotaRequest held, TimePoint now) {
-    const QuotaRequest& question = held.question;
-    const Tenant* tenant = _context.tenants().find(question.tenant);
+void ShardLeader::answer(QueuedQuotaRequest queued, TimePoint now) {
+    const QuotaRequest& request = queued.request;
+    const Tenant* tenant = _context.tenants().find(request.tenant);
     if (tenant == nullptr) {
-        _held.decline(held, kRetryAfterDecline);
+        _queue.decline(queued, kRetryAfterDecline);
         return;
     }
-    const std::uint32_t allowed = grantable(*tenant, question.wanted, now);
+    const std::uint32_t allowed = grantable(*tenant, request.wanted, now);
     const bool isLimited = isLimitedByAllowance(*tenant, now);
-    if (allowed == 0 && question.wanted > 0 && isLimited && !hasOwnAllowance(tenant->name, now)) {
-        _held.hold(std::move(held));
+    if (allowed == 0 && request.wanted > 0 && isLimited && !hasOwnAllowance(tenant->name, now)) {
+        _queue.add(std::move(queued));
         return;
     }
-    const RankedGrant ranked = grantOf(*tenant, question, allowed, now);
+    const RankedGrant ranked = grantOf(*tenant, request, allowed, now);
     const std::uint32_t units = ranked.units;
-    const QuotaResponse granted = grant(*tenant, question, ranked, now);
+    const QuotaResponse granted = grant(*tenant, request, ranked, now);
     ++_context.statistics.granted;
     if (units == 0 || _standbyState == StandbyState::None) {
-        held.reply(granted);
+        queued.reply(granted);
         return;
     }
     LedgerUpdate update;
-    update.batches.push_back({question.tenant, granted.batch, units, usableFor(question)});
+    update.batches.push_back({request.tenant, granted.batch, units, usableFor(request)});
     if (_standbyState == StandbyState::Copying) {
         sendUpdate(std::move(update), std::nullopt);
-        held.reply(granted);
+        queued.reply(granted);
     } else {
-        sendUpdate(std::move(update), UnacknowledgedGrant{std::move(held.reply), granted});
+        sendUpdate(std::move(update), UnacknowledgedGrant{std::move(queued.reply), granted});
     }
 }
 
@@ -256,7 +255,7 @@
     return _allowances.left(tenant.name) == 0 && freeUnits(tenant, now) > 0;
 }
 
-QuotaResponse ShardLeader::grant(const Tenant& tenant, const QuotaRequest& question,
+QuotaResponse ShardLeader::grant(const Tenant& tenant, const QuotaRequest& request,
                                  const RankedGrant& granted, TimePoint now) {
     const std::uint32_t units = granted.units;
     QuotaLedger& ledger = ledgerOf(tenant.name);
@@ -267,18 +266,18 @@
     answer.grantedByRank = granted.byRank;
     if (units > 0) {
         answer.batch = {_term, ++_lastBatch};
-        ledger.add(answer.batch, units, now + usableFor(question));
+        ledger.add(answer.batch, units, now + usableFor(request));
         _allowances.take(tenant.name, units);
         _context.statistics.grantedAsDeputy += _role == ShardRole::Deputy ? units : 0;
         _pacers[tenant.name].take(units);
     }
     answer.scarce = ledger.counted(now) > kScarceAbove * _context.terms.bound(tenant.quota);
-    const std::uint32_t missing = question.wanted - units;
+    const std::uint32_t missing = request.wanted - units;
     // While the record is being written for a new allowance, the rest may be available at once, so
     // no retry delay is set.
     if (missing > 0 && !isLimitedByAllowance(tenant, now)) {
-        if (!granted.putOff.empty()) {
-            answer.retryAfter = putOff(tenant, granted, now);
+        if (!granted.deferred.empty()) {
+            answer.retryAfter = defer(tenant, granted, now);
             answer.scarce = true;
             return answer;
         }
@@ -291,19 +290,19 @@
     return answer;
 }
 
-void ShardLeader::answerHeld(TimePoint now) {
-    for (QueuedQuotaRequest& held : _held.takeAll()) {
+void ShardLeader::answerQueued(TimePoint now) {
+    for (QueuedQuotaRequest& queued : _queue.takeAll()) {
         if (mayGrant(now)) {
-            answer(std::move(held), now);
+            answer(std::move(queued), now);
         } else {
-            _held.hold(std::move(held));
+            _queue.add(std::move(queued));
         }
     }
 }
 
 void ShardLeader::abandon() {
-    for (const QueuedQuotaRequest& held : _held.takeAll()) {
-        _held.decline(held, Duration(0));
+    for (const QueuedQuotaRequest& queued : _queue.takeAll()) {
+        _queue.decline(queued, Duration(0));
     }
     end();
 }
@@ -364,11 +363,11 @@
     if (_standbyState == StandbyState::None && mayHaveStandby && now >= _nextStandby) {
         chooseStandby(now);
     }
-    answerHeld(now);
+    answerQueued(now);
     if (wantsSave(now)) {
         save(now);
     }
-    _held.declineOverdue(now);
+    _queue.declineOverdue(now);
 }
 
 }  // namespace coralhoist::tenancy
--- a/src/tenancy/ShardLeader.h
+++ b/src/tenancy/ShardLeader.h
@@ -58,7 +58,7 @@
     ShardLeader(const ShardContext& context, RecordParts parts);
 
     /** Handles a request. The response is sent within the queueing timeout of requests. */
-    void ask(const QuotaRequest& question, QuotaReply reply);
+    void ask(const QuotaRequest& request, QuotaReply reply);
 
     void onTick(TimePoint now);
     TimePoint nextTick() const;
@@ -73,7 +73,7 @@
     bool hasEnded() const { return _ended; }
 
     /** Removes and returns the queued requests that were not answered here. */
-    std::deque<QueuedQuotaRequest> takeHeld() { return _held.takeAll(); }
+    std::deque<QueuedQuotaRequest> takeQueued() { return _queue.takeAll(); }
 
     /** Makes a deputy stop granting and record that in its part. */
     void withdraw();
@@ -103,7 +103,7 @@
         std::uint32_t units = 0;
         /** Empty where the request names no ranks. */
         std::vector<std::uint32_t> byRank;
-        std::vector<RankedWish> putOff;
+        std::vector<RankedWish> deferred;
     };
     struct UnacknowledgedGrant {
         QuotaReply reply;
@@ -120,24 +120,24 @@
     bool isSecondDeputy() const;
 
     bool mayGrant(TimePoint now) const;
-    void answer(QueuedQuotaRequest held, TimePoint now);
+    void answer(QueuedQuotaRequest queued, TimePoint now);
     std::uint32_t freeUnits(const Tenant& tenant, TimePoint now);
     std::uint32_t grantable(const Tenant& tenant, std::uint32_t wanted, TimePoint now);
-    QuotaResponse grant(const Tenant& tenant, const QuotaRequest& question,
+    QuotaResponse grant(const Tenant& tenant, const QuotaRequest& request,
                         const RankedGrant& granted, TimePoint now);
     QuotaLedger& ledgerOf(const TenantName& tenant);
-    bool mayForward(const QuotaRequest& question) const;
-    void forwardToSuccessor(const QueuedQuotaRequest& held);
-    void answerHeld(TimePoint now);
+    bool mayForward(const QuotaRequest& request) const;
+    void forwardToSuccessor(const QueuedQuotaRequest& queued);
+    void answerQueued(TimePoint now);
 
     bool isLimitedByAllowance(const Tenant& tenant, TimePoint now);
     std::uint32_t paced(const Tenant& tenant, std::uint32_t units, TimePoint now);
-    bool usesRanks(const QuotaRequest& question) const;
-    RankedGrant pacedByRank(const Tenant& tenant, const QuotaRequest& question, std::uint32_t units,
+    bool usesRanks(const QuotaRequest& request) const;
+    RankedGrant pacedByRank(const Tenant& tenant, const QuotaRequest& request, std::uint32_t units,
                             TimePoint now);
-    RankedGrant grantOf(const Tenant& tenant, const QuotaRequest& question, std::uint32_t units,
+    RankedGrant grantOf(const Tenant& tenant, const QuotaRequest& request, std::uint32_t units,
                         TimePoint now);
-    Duration putOff(const Tenant& tenant, const RankedGrant& granted, TimePoint now);
+    Duration defer(const Tenant& tenant, const RankedGrant& granted, TimePoint now);
     Duration untilFree(const Tenant& tenant, std::uint32_t units, TimePoint now);
 
     void chooseStandby(TimePoint now);
@@ -207,7 +207,7 @@
     TimePoint _savedAt{};
     TimePoint _offeredAt{};
     TimePoint _askedAt{};
-    QuotaRequestQueue _held;
+    QuotaRequestQueue _queue;
     std::shared_ptr<bool> _alive = std::make_shared<bool>(true);
 };
 
--- a/src/tenancy/ShardLeaderParts.cpp
+++ b/src/tenancy/ShardLeaderParts.cpp
@@ -16,7 +16,7 @@
       _allowances(RecordedQuotas{}),
       _mustRenew(true),
       _askedAt(context.clock.now()),
-      _held(context.statistics.declined) {}
+      _queue(context.statistics.declined) {}
 
 const RecordedQuotas& ShardLeader::ownQuotasOf(const QuotaShardRecord& record) const {
     static const RecordedQuotas kNone;
@@ -93,8 +93,8 @@
     _withdrawn = true;
     _mustRenew = false;
     LogEvent("tenancy", LogLevel::Info, "quota.deputy_ended").field("shard", _context.shard);
-    for (const QueuedQuotaRequest& held : _held.takeAll()) {
-        _held.decline(held, Duration(0));
+    for (const QueuedQuotaRequest& queued : _queue.takeAll()) {
+        _queue.decline(queued, Duration(0));
     }
     onTick(_context.clock.now());
 }
--- a/src/tenancy/ShardLeaderRecord.cpp
+++ b/src/tenancy/ShardLeaderRecord.cpp
@@ -29,7 +29,7 @@
 }  // namespace
 
 bool ShardLeader::isIdle(TimePoint now) const {
-    return now - _askedAt >= kIdleAfter && _held.empty();
+    return now - _askedAt >= kIdleAfter && _queue.empty();
 }
 
 bool ShardLeader::wantsSave(TimePoint now) const {
@@ -50,7 +50,7 @@
     }
     QuotaShardRecord attempted = _parts.record();
     attempted.writtenIn = attempted.version.era;
-    attempted.deputies = _parts.cleared(_context.terms.longestWindow(), now);
+    attempted.deputies = _parts.partsForNextVersion(_context.terms.longestWindow(), now);
     writeOwnPart(attempted, now);
     _allowances.onSaving(ownQuotasOf(attempted));
     _needsAllowance = false;
@@ -185,7 +185,7 @@
     if (_ended) {
         return TimePoint::max();
     }
-    TimePoint next = _held.dueAt();
+    TimePoint next = _queue.dueAt();
     if (_standbyState == StandbyState::None && _role == ShardRole::Leader &&
         _askedAt + kIdleAfter > _nextStandby) {
         next = std::min(next, _nextStandby);
@@ -193,7 +193,7 @@
     if (_calling) {
         return next;
     }
-    const bool renews = _askedAt + kIdleAfter > _savedAt + kRenewEvery || !_held.empty();
+    const bool renews = _askedAt + kIdleAfter > _savedAt + kRenewEvery || !_queue.empty();
     if (renews && !_withdrawn) {
         next = std::min(next, std::max(_savedAt + kRenewEvery, _notBefore));
     }
--- a/src/tenancy/ShardLeaderStandby.cpp
+++ b/src/tenancy/ShardLeaderStandby.cpp
@@ -57,7 +57,7 @@
 
 void ShardLeader::sendUpdate(LedgerUpdate update, std::optional<UnacknowledgedGrant> grant) {
     update.shard = _context.shard;
-    update.leaderLife = _context.self.life;
+    update.leaderIncarnation = _context.self.incarnation;
     update.copy = _copy;
     update.sequence = ++_lastUpdate;
     const std::uint64_t number = update.sequence;
@@ -86,7 +86,7 @@
     }
     _acknowledgedUpdate = std::max(_acknowledgedUpdate, update);
     if (_standbyState == StandbyState::Copying) {
-        _standby.life = ack->life;
+        _standby.incarnation = ack->incarnation;
         _standbyState = StandbyState::CatchingUp;
         _mustCatchUpTo = _lastUpdate;
     }
--- a/tests/tenancy/QuotaLedgerTest.cpp
+++ b/tests/tenancy/QuotaLedgerTest.cpp
@@ -86,7 +86,7 @@
     static LedgerUpdate update(std::uint64_t number, bool whole, std::uint32_t units,
                                std::uint64_t sequence = 1) {
         LedgerUpdate result;
-        result.leaderLife = "n1/5";
+        result.leaderIncarnation = "n1/5";
         result.copy = number;
         result.sequence = sequence;
         result.whole = whole;
@@ -100,37 +100,37 @@
 };
 
 TEST(LedgerCopy, HoldsAllBatchesOfTheLeader) {
-    CHECK_TRUE(copy.take(update(1, true, 3), windowOf, start));
-    CHECK_TRUE(copy.take(update(1, false, 4, 2), windowOf, start));
+    CHECK_TRUE(copy.apply(update(1, true, 3), windowOf, start));
+    CHECK_TRUE(copy.apply(update(1, false, 4, 2), windowOf, start));
     UNSIGNED_LONGS_EQUAL(7, counted());
     CHECK_TRUE(copy.isOf("n1/5"));
 }
 
 TEST(LedgerCopy, AMessageOfAnOlderCopyChangesNothing) {
-    copy.take(update(2, true, 3), windowOf, start);
-    CHECK_FALSE(copy.take(update(1, true, 1), windowOf, start));
-    CHECK_FALSE(copy.take(update(1, false, 2, 2), windowOf, start));
+    copy.apply(update(2, true, 3), windowOf, start);
+    CHECK_FALSE(copy.apply(update(1, true, 1), windowOf, start));
+    CHECK_FALSE(copy.apply(update(1, false, 2, 2), windowOf, start));
     UNSIGNED_LONGS_EQUAL(3, counted());
 }
 
 TEST(LedgerCopy, AnUpdateAfterOneThatWasLostIsNotAcknowledged) {
-    copy.take(update(1, true, 3), windowOf, start);
-    CHECK_FALSE(copy.take(update(1, false, 5, 3), windowOf, start));
-    CHECK_TRUE(copy.take(update(1, false, 4, 2), windowOf, start));
-    CHECK_FALSE(copy.take(update(1, false, 4, 2), windowOf, start));
+    copy.apply(update(1, true, 3), windowOf, start);
+    CHECK_FALSE(copy.apply(update(1, false, 5, 3), windowOf, start));
+    CHECK_TRUE(copy.apply(update(1, false, 4, 2), windowOf, start));
+    CHECK_FALSE(copy.apply(update(1, false, 4, 2), windowOf, start));
     UNSIGNED_LONGS_EQUAL(7, counted());
 }
 
 TEST(LedgerCopy, WithoutItsBeginningNothingIsACopy) {
-    CHECK_FALSE(copy.take(update(1, false, 3), windowOf, start));
+    CHECK_FALSE(copy.apply(update(1, false, 3), windowOf, start));
     CHECK_FALSE(copy.isOf("n1/5"));
 }
 
 TEST(LedgerCopy, NothingIsAcknowledgedOnceItIsSealed) {
-    copy.take(update(1, true, 3), windowOf, start);
+    copy.apply(update(1, true, 3), windowOf, start);
     copy.seal();
-    CHECK_FALSE(copy.take(update(1, false, 4, 2), windowOf, start));
-    CHECK_FALSE(copy.take(update(2, true, 4), windowOf, start));
+    CHECK_FALSE(copy.apply(update(1, false, 4, 2), windowOf, start));
+    CHECK_FALSE(copy.apply(update(2, true, 4), windowOf, start));
     UNSIGNED_LONGS_EQUAL(3, counted());
 }
 
--- a/tests/tenancy/QuotaStoreReturnTest.cpp
+++ b/tests/tenancy/QuotaStoreReturnTest.cpp
@@ -53,7 +53,7 @@
     /** Gives this node a copy of the grants of "n2/1". */
     void takeCopy() {
         LedgerUpdate update;
-        update.leaderLife = "n2/1";
+        update.leaderIncarnation = "n2/1";
         update.whole = true;
         update.copy = 1;
         update.sequence = 1;
@@ -80,7 +80,7 @@
 TEST(QuotaShardReturn, ALeaderWhoseLeaseLastsWritesItsPartAgain) {
     leadInFirstEra();
     returnOlder(inEra(loadedRecord("n2/1", "", 7), 2, 1));
-    STRCMP_EQUAL("n1/1", store.saved.back().leader.life.c_str());
+    STRCMP_EQUAL("n1/1", store.saved.back().leader.incarnation.c_str());
     CHECK_TRUE(store.saved.back().version == (StoreVersion{2, 7}));
     UNSIGNED_LONGS_EQUAL(2, store.saved.back().writtenIn);
     CHECK_TRUE(shard->leads());
--- a/tests/tenancy/RecordPartsTest.cpp
+++ b/tests/tenancy/RecordPartsTest.cpp
@@ -45,7 +45,8 @@
 
 TEST(RecordParts, APartIsLeftAsItIsWhileItsLeaseMayLast) {
     parts.onKnown(recordWithDeputy(), start);
-    const std::vector<DeputyPart> cleared = parts.cleared(kWindow, start + milliseconds(6599));
+    const std::vector<DeputyPart> cleared =
+        parts.partsForNextVersion(kWindow, start + milliseconds(6599));
     CHECK_TRUE(cleared == recordWithDeputy().deputies);
 }
 
@@ -53,7 +54,7 @@
     parts.onKnown(recordWithDeputy(), start);
     const TimePoint lapsed = start + milliseconds(6600);
     QuotaShardRecord record = recordWithDeputy();
-    record.deputies = parts.cleared(kWindow, lapsed);
+    record.deputies = parts.partsForNextVersion(kWindow, lapsed);
     record.version.revision = 8;
     CHECK_FALSE(record.deputies.at(0).grants);
     UNSIGNED_LONGS_EQUAL(0, record.deputies[0].tenants.at(kTenant).allowance);
@@ -62,8 +63,8 @@
     parts.onKnown(record, lapsed);
     const TimePoint end = lapsed + kLongestQuotaLease + kWindow;
     UNSIGNED_LONGS_EQUAL(20, parts.besidesLeader(kTenant, end).all());
-    LONGS_EQUAL(1, parts.cleared(kWindow, end).size());
-    LONGS_EQUAL(0, parts.cleared(kWindow, end + milliseconds(501)).size());
+    LONGS_EQUAL(1, parts.partsForNextVersion(kWindow, end).size());
+    LONGS_EQUAL(0, parts.partsForNextVersion(kWindow, end + milliseconds(501)).size());
 }
 
 TEST(RecordParts, ARenewalOfAPartBeginsItsLeaseAnew) {
@@ -72,7 +73,7 @@
     renewed.version.revision = 8;
     renewed.deputies[0].replacedVersion = 2;
     parts.onKnown(renewed, start + seconds(6));
-    CHECK_TRUE(parts.cleared(kWindow, start + seconds(12)) == renewed.deputies);
+    CHECK_TRUE(parts.partsForNextVersion(kWindow, start + seconds(12)) == renewed.deputies);
 }
 
 TEST(RecordParts, ADeputysWritingIsNoSignOfTheLeader) {
--- a/tests/tenancy/ShardLeaderTest.cpp
+++ b/tests/tenancy/ShardLeaderTest.cpp
@@ -167,7 +167,7 @@
 TEST(QuotaShard, AStandbyLeadsAtOnceWhenNobodyHearsFromTheLeader) {
     LedgerUpdate update;
     update.shard = quotaShardOf(kTenant);
-    update.leaderLife = "n2/1";
+    update.leaderIncarnation = "n2/1";
     update.copy = 1;
     update.sequence = 1;
     update.whole = true;
