--- a/src/tenancy/QuotaRequestQueue.cpp
+++ b/src/tenancy/QuotaRequestQueue.cpp
@@ -18,10 +18,10 @@
 }  // namespace
 
 QuotaResponse declinedResponse(Duration retryAfter) {
-    QuotaResponse answer;
-    answer.declined = true;
-    answer.retryAfter = retryAfter;
-    return answer;
+    QuotaResponse response;
+    response.declined = true;
+    response.retryAfter = retryAfter;
+    return response;
 }
 
 bool QueuedQuotaRequest::isOverdue(TimePoint now) const {
--- a/src/tenancy/QuotaShard.cpp
+++ b/src/tenancy/QuotaShard.cpp
@@ -100,28 +100,28 @@
     if ((isProbe || request.leaderSilent) && node != standby.node && canReach(standby)) {
         // Probing the standby in parallel finds out without further delay whether it is unreachable
         // too.
-        probe(standby.node, request, [](const QuotaResponse& /*answer*/) {});
+        probe(standby.node, request, [](const QuotaResponse& /*response*/) {});
     }
     _context.calls.ask(
         node, request,
         [this, alive = std::weak_ptr<bool>(_alive), node,
-         queued = std::move(queued)](const std::optional<QuotaResponse>& answer) mutable {
+         queued = std::move(queued)](const std::optional<QuotaResponse>& response) mutable {
             if (alive.expired()) {
                 return;
             }
-            if (answer && !answer->declined) {
+            if (response && !response->declined) {
                 _cutOffSince.reset();
-                queued.reply(*answer);
+                queued.reply(*response);
                 return;
             }
             const TimePoint now = _context.clock.now();
             requireReload(now);
             noteReach(now);
-            if (answer && _known && node == _known->record().leader.node) {
+            if (response && _known && node == _known->record().leader.node) {
                 _leaderDeclinedAt = now;
             }
-            if (answer || (queued.isOverdue(now) && !waitsToBeDeputy())) {
-                decline(queued, answer ? answer->retryAfter : kRetryPause);
+            if (response || (queued.isOverdue(now) && !waitsToBeDeputy())) {
+                decline(queued, response ? response->retryAfter : kRetryPause);
             } else {
                 _queue.add(std::move(queued));
             }
--- a/src/tenancy/QuotaShardDeputy.cpp
+++ b/src/tenancy/QuotaShardDeputy.cpp
@@ -64,9 +64,9 @@
     request.wantedByRank.clear();
     _context.calls.ask(node, request,
                        [alive = std::weak_ptr<bool>(_alive), onAnswered = std::move(onAnswered)](
-                           const std::optional<QuotaResponse>& answer) {
-                           if (!alive.expired() && answer && !answer->declined) {
-                               onAnswered(*answer);
+                           const std::optional<QuotaResponse>& response) {
+                           if (!alive.expired() && response && !response->declined) {
+                               onAnswered(*response);
                            }
                        });
 }
@@ -83,7 +83,7 @@
     request.tenant = _tenant;
     // Leaves one hop, so that a standby may forward the probe.
     request.hops = kMostQuotaHops - 1;
-    probe(*target, request, [this](const QuotaResponse& /*answer*/) {
+    probe(*target, request, [this](const QuotaResponse& /*response*/) {
         _cutOffSince.reset();
         if (isDeputy()) {
             _deputy->withdraw();
--- a/src/tenancy/ShardLeader.cpp
+++ b/src/tenancy/ShardLeader.cpp
@@ -105,8 +105,8 @@
     QuotaRequest request = queued.request;
     ++request.hops;
     _context.calls.ask(_successor, request,
-                       [reply = queued.reply](const std::optional<QuotaResponse>& answer) {
-                           reply(answer.value_or(declinedResponse(kRetryAfterDecline)));
+                       [reply = queued.reply](const std::optional<QuotaResponse>& response) {
+                           reply(response.value_or(declinedResponse(kRetryAfterDecline)));
                        });
 }
 
@@ -259,35 +259,35 @@
                                  const RankedGrant& granted, TimePoint now) {
     const std::uint32_t units = granted.units;
     QuotaLedger& ledger = ledgerOf(tenant.name);
-    QuotaResponse answer;
-    answer.leader = _context.self.node;
-    answer.standby = _standbyState == StandbyState::InSync ? _standby.node : NodeName();
-    answer.granted = units;
-    answer.grantedByRank = granted.byRank;
+    QuotaResponse response;
+    response.leader = _context.self.node;
+    response.standby = _standbyState == StandbyState::InSync ? _standby.node : NodeName();
+    response.granted = units;
+    response.grantedByRank = granted.byRank;
     if (units > 0) {
-        answer.batch = {_term, ++_lastBatch};
-        ledger.add(answer.batch, units, now + usableFor(request));
+        response.batch = {_term, ++_lastBatch};
+        ledger.add(response.batch, units, now + usableFor(request));
         _allowances.take(tenant.name, units);
         _context.statistics.grantedAsDeputy += _role == ShardRole::Deputy ? units : 0;
         _pacers[tenant.name].take(units);
     }
-    answer.scarce = ledger.counted(now) > kScarceAbove * _context.terms.bound(tenant.quota);
+    response.scarce = ledger.counted(now) > kScarceAbove * _context.terms.bound(tenant.quota);
     const std::uint32_t missing = request.wanted - units;
     // While the record is being written for a new allowance, the rest may be available at once, so
     // no retry delay is set.
     if (missing > 0 && !isLimitedByAllowance(tenant, now)) {
         if (!granted.deferred.empty()) {
-            answer.retryAfter = defer(tenant, granted, now);
-            answer.scarce = true;
-            return answer;
+            response.retryAfter = defer(tenant, granted, now);
+            response.scarce = true;
+            return response;
         }
         const Duration paced = _pacers[tenant.name].untilAvailable(missing);
         const Duration freed = untilFree(tenant, missing, now);
-        answer.retryAfter = std::min(std::max(paced, freed), kLongestRetry);
+        response.retryAfter = std::min(std::max(paced, freed), kLongestRetry);
     } else if (missing > 0 && hasOwnAllowance(tenant.name, now)) {
-        answer.retryAfter = std::max(Duration(0), _nextAllowanceAt - now);
+        response.retryAfter = std::max(Duration(0), _nextAllowanceAt - now);
     }
-    return answer;
+    return response;
 }
 
 void ShardLeader::answerQueued(TimePoint now) {
--- a/src/tenancy/ShardLeader.h
+++ b/src/tenancy/ShardLeader.h
@@ -107,7 +107,7 @@
     };
     struct UnacknowledgedGrant {
         QuotaReply reply;
-        QuotaResponse answer;
+        QuotaResponse response;
     };
 
     const RecordedQuotas& ownQuotas() const;
--- a/src/tenancy/ShardLeaderStandby.cpp
+++ b/src/tenancy/ShardLeaderStandby.cpp
@@ -91,7 +91,7 @@
         _mustCatchUpTo = _lastUpdate;
     }
     if (const auto grant = _unacknowledged.extract(update)) {
-        grant.mapped().reply(grant.mapped().answer);
+        grant.mapped().reply(grant.mapped().response);
     }
     if (isCaughtUp()) {
         onTick(_context.clock.now());
@@ -138,7 +138,7 @@
  * standby has to hold these grants. */
 void ShardLeader::answerUnacknowledged() {
     for (auto& [number, grant] : std::exchange(_unacknowledged, {})) {
-        grant.reply(grant.answer);
+        grant.reply(grant.response);
     }
 }
 
--- a/tests/tenancy/QuotaLedgerTest.cpp
+++ b/tests/tenancy/QuotaLedgerTest.cpp
@@ -45,7 +45,7 @@
     UNSIGNED_LONGS_EQUAL(0, ledger.counted(start + milliseconds(5501)));
 }
 
-TEST(QuotaLedger, UnusedUnitsCountNoMoreOnceSettled) {
+TEST(QuotaLedger, UnusedUnitsStopCountingOnceSettled) {
     ledger.add(kFirst, 3, start + milliseconds(500));
     ledger.settle({kFirst, 1, milliseconds(100)}, start + milliseconds(600));
     UNSIGNED_LONGS_EQUAL(1, ledger.counted(start + milliseconds(600)));
@@ -72,7 +72,7 @@
     UNSIGNED_LONGS_EQUAL(0, ledger.counted(start + milliseconds(5001)));
 }
 
-TEST(QuotaLedger, TellsWhenUnitsWillBeFree) {
+TEST(QuotaLedger, ReportsWhenUnitsBecomeFree) {
     ledger.add(kFirst, 3, start);
     ledger.add(kSecond, 3, start + seconds(1));
     CHECK_TRUE(ledger.untilFreed(3, start) == seconds(5));
@@ -121,7 +121,7 @@
     UNSIGNED_LONGS_EQUAL(7, counted());
 }
 
-TEST(LedgerCopy, WithoutItsBeginningNothingIsACopy) {
+TEST(LedgerCopy, UpdatesWithoutTheWholeLedgerAreNotAcknowledged) {
     CHECK_FALSE(copy.apply(update(1, false, 3), windowOf, start));
     CHECK_FALSE(copy.isOf("n1/5"));
 }
@@ -153,7 +153,7 @@
     UNSIGNED_LONGS_EQUAL(1, lease.takeUnused());
 }
 
-TEST(QuotaLease, UnitsThatComeTooLateAreSettledAsUnused) {
+TEST(QuotaLease, UnitsThatArriveTooLateAreSettledAsUnused) {
     lease.add(granted(kFirst, 2), start + milliseconds(500), start + milliseconds(700));
     CHECK_FALSE(lease.takeUnit(start + milliseconds(700)));
     const auto settled = lease.settlements(start + milliseconds(700));
@@ -161,7 +161,7 @@
     UNSIGNED_LONGS_EQUAL(0, settled[0].used);
 }
 
-TEST(QuotaLease, SettlesWhatEndedUntilTheLeaderHasBeenTold) {
+TEST(QuotaLease, SettlesEndedBatchesUntilTheLeaderHasAcknowledgedThem) {
     lease.add(granted(kFirst, 2), start + milliseconds(500), start);
     lease.add(granted(kSecond, 1), start + milliseconds(600), start);
     lease.takeUnit(start);
--- a/tests/tenancy/QuotaStoreReturnTest.cpp
+++ b/tests/tenancy/QuotaStoreReturnTest.cpp
@@ -77,7 +77,7 @@
 
 TEST_GROUP_BASE(QuotaShardReturn, ReturnFixture){};
 
-TEST(QuotaShardReturn, ALeaderWhoseLeaseLastsWritesItsPartAgain) {
+TEST(QuotaShardReturn, ALeaderWithAValidLeaseWritesItsPartAgain) {
     leadInFirstEra();
     returnOlder(inEra(loadedRecord("n2/1", "", 7), 2, 1));
     STRCMP_EQUAL("n1/1", store.saved.back().leader.incarnation.c_str());
@@ -86,21 +86,21 @@
     CHECK_TRUE(shard->leads());
 }
 
-TEST(QuotaShardReturn, ALeaderWhoseLeaseIsOverEnds) {
+TEST(QuotaShardReturn, ALeaderWithAnExpiredLeaseStops) {
     leadInFirstEra();
     clock.advance(seconds(6));
     returnOlder(inEra(loadedRecord("n1/1", "", 7), 2, 1));
     CHECK_FALSE(shard->leads());
 }
 
-TEST(QuotaShardReturn, ALeaderEndsWhereAnotherOneHasWrittenInThePresentEra) {
+TEST(QuotaShardReturn, ALeaderStopsWhenAnotherOneHasWrittenInThePresentEra) {
     leadInFirstEra();
     returnOlder(inEra(loadedRecord("n2/1", "", 7), 2, 2));
     CHECK_FALSE(shard->leads());
 }
 
 /** Holders of lost parts may have the units that the leader's own part left. */
-TEST(QuotaShardReturn, ALeaderAllowsItselfNoMoreThanItsPartWas) {
+TEST(QuotaShardReturn, ALeaderAllowsItselfNoMoreThanItsFormerPart) {
     leadInFirstEra();
     const RecordedQuota part = store.saved.back().tenants.at(kShardTenant);
     returnOlder(inEra(loadedRecord("n2/1", "", 7), 2, 1));
@@ -108,7 +108,7 @@
 }
 
 /** The standby may lead under a later claim that the store has lost. */
-TEST(QuotaShardReturn, ALeaderThatLosesItsStandbyEnds) {
+TEST(QuotaShardReturn, ALeaderThatLosesItsStandbyStops) {
     peers.push_back({NodeName("n2"), ZoneName("z"), "h", 1});
     leadInFirstEra();
     calls.onAck(sent.lastNumber, LedgerAck{true, "n2/1"});
@@ -134,7 +134,7 @@
 
 /** A starting node detects by the era of the record that the store was restored from an older copy.
  */
-TEST(QuotaShardReturn, AFormerLifeIsNotFollowedAtOnceWhenItsRecordIsOfAnEarlierEra) {
+TEST(QuotaShardReturn, AFormerIncarnationIsNotSucceededAtOnceWhenItsRecordIsOfAnEarlierEra) {
     era.note(2, "store");
     era.noteWritten(1);
     CHECK_FALSE(claims(inEra(loadedRecord("n1/0", "", 7), 2, 1)));
@@ -192,7 +192,7 @@
 }
 
 /** The older copy contains the claim, and may lack later claims of other nodes. */
-TEST(QuotaShardReturn, AClaimOfAnEarlierEraIsNotFoundDone) {
+TEST(QuotaShardReturn, AClaimOfAnEarlierEraIsNotTakenAsWritten) {
     era.note(1, "store");
     ask(1);
     LoadedShard none;
--- a/tests/tenancy/RecordPartsTest.cpp
+++ b/tests/tenancy/RecordPartsTest.cpp
@@ -33,7 +33,7 @@
     }
 };
 
-TEST(RecordParts, OthersHaveWhatCountsByAgeAndWhatTheyAreAllowed) {
+TEST(RecordParts, OthersHaveTheirCountingUnitsByAgeAndTheirAllowances) {
     parts.onKnown(recordWithDeputy(), start);
     UNSIGNED_LONGS_EQUAL(24, parts.besidesLeader(kTenant, start).all());
     UNSIGNED_LONGS_EQUAL(70, parts.besidesDeputy(deputy, kTenant, start).all());
@@ -43,14 +43,14 @@
     UNSIGNED_LONGS_EQUAL(30, parts.besidesDeputy(deputy, kTenant, later).all());
 }
 
-TEST(RecordParts, APartIsLeftAsItIsWhileItsLeaseMayLast) {
+TEST(RecordParts, APartIsUnchangedWhileItsLeaseMayBeValid) {
     parts.onKnown(recordWithDeputy(), start);
     const std::vector<DeputyPart> cleared =
         parts.partsForNextVersion(kWindow, start + milliseconds(6599));
     CHECK_TRUE(cleared == recordWithDeputy().deputies);
 }
 
-TEST(RecordParts, APartWhoseLeaseIsOverCountsWhatItAllowedForAsLongAsItMayRun) {
+TEST(RecordParts, AnExpiredPartCountsItsAllowanceForAsLongAsItsUnitsMayRun) {
     parts.onKnown(recordWithDeputy(), start);
     const TimePoint lapsed = start + milliseconds(6600);
     QuotaShardRecord record = recordWithDeputy();
@@ -67,7 +67,7 @@
     LONGS_EQUAL(0, parts.partsForNextVersion(kWindow, end + milliseconds(501)).size());
 }
 
-TEST(RecordParts, ARenewalOfAPartBeginsItsLeaseAnew) {
+TEST(RecordParts, ARenewalOfAPartRestartsItsLease) {
     parts.onKnown(recordWithDeputy(), start);
     QuotaShardRecord renewed = recordWithDeputy();
     renewed.version.revision = 8;
@@ -76,7 +76,7 @@
     CHECK_TRUE(parts.partsForNextVersion(kWindow, start + seconds(12)) == renewed.deputies);
 }
 
-TEST(RecordParts, ADeputysWritingIsNoSignOfTheLeader) {
+TEST(RecordParts, ADeputysWriteDoesNotRenewTheLeadersLease) {
     parts.onKnown(recordWithDeputy(), start);
     QuotaShardRecord next = recordWithDeputy();
     next.version.revision = 8;
@@ -88,7 +88,7 @@
     CHECK_TRUE(parts.leaderSeenAt() == start + seconds(2));
 }
 
-TEST(RecordParts, ThreeDeputiesAtMost) {
+TEST(RecordParts, AcceptsThreeDeputiesAtMost) {
     QuotaShardRecord record = recordWithDeputy();
     record.deputies.push_back({{NodeName("n4"), "n4/1"}, true, 1, {}});
     parts.onKnown(record, start);
--- a/tests/tenancy/ShardLeaderTest.cpp
+++ b/tests/tenancy/ShardLeaderTest.cpp
@@ -18,7 +18,7 @@
 
 TEST_GROUP(RecordAllowances){};
 
-TEST(RecordAllowances, AGrantIsTakenFromEachVersionThatMayBeTheNewest) {
+TEST(RecordAllowances, AGrantIsDeductedFromEachVersionThatMayBeTheNewest) {
     RecordAllowances allowances(recordAllowing(10));
     allowances.take(kTenant, 4);
     allowances.onSaving(recordAllowing(3));
@@ -32,7 +32,7 @@
     UNSIGNED_LONGS_EQUAL(1, allowances.left(kTenant));
 }
 
-TEST(RecordAllowances, AVersionThatIsInForceReplacesAllOthers) {
+TEST(RecordAllowances, AVersionInForceReplacesAllOthers) {
     RecordAllowances allowances(recordAllowing(10));
     allowances.onSaving(recordAllowing(3));
     allowances.onSaved(StoreOutcome::Unknown);
@@ -42,7 +42,7 @@
     UNSIGNED_LONGS_EQUAL(49, allowances.left(kTenant));
 }
 
-TEST(RecordAllowances, AWritingThatWasNotDoneChangesNothing) {
+TEST(RecordAllowances, AFailedWriteChangesNoAllowance) {
     RecordAllowances allowances(recordAllowing(10));
     allowances.onSaving(recordAllowing(3));
     allowances.onSaved(StoreOutcome::Conflict);
@@ -51,7 +51,7 @@
 
 TEST_GROUP_BASE(QuotaShard, ShardFixture){};
 
-TEST(QuotaShard, LeadsOnlyOnceTheRecordSaysSo) {
+TEST(QuotaShard, LeadsOnlyOnceTheRecordNamesIt) {
     ask(1);
     CHECK_TRUE(answers.empty());
     LoadedShard none;
@@ -63,7 +63,7 @@
     UNSIGNED_LONGS_EQUAL(1, answers[0].granted);
 }
 
-TEST(QuotaShard, TheLeaseCountsFromWhenTheWritingWasSent) {
+TEST(QuotaShard, TheLeaseBeginsWhenTheWriteIsSent) {
     ask(1);
     LoadedShard none;
     none.outcome = StoreOutcome::Done;
@@ -98,7 +98,7 @@
     LONGS_EQUAL(1, store.saves.size());
 }
 
-TEST(QuotaShard, ARenewalInBetweenBeginsTheWaitAnew) {
+TEST(QuotaShard, ARenewalRestartsTheWaitForTheLeaseToExpire) {
     sent.reachable = false;
     ask(1);
     store.finishLoad(crowdedRecord("n2/1", 7));
@@ -148,7 +148,7 @@
     LONGS_EQUAL(before + 1, answers.size());
 }
 
-TEST(QuotaShard, WithoutItsStandbyALeaderGrantsNothingBeforeTheRecordNamesItNoMore) {
+TEST(QuotaShard, ALeaderThatLosesItsStandbyGrantsNothingUntilTheRecordNoLongerNamesTheStandby) {
     peers.push_back({NodeName("n2"), ZoneName("z"), "h", 1});
     lead();
     calls.onAck(sent.lastNumber, LedgerAck{true, "n2/1"});
@@ -186,7 +186,7 @@
     UNSIGNED_LONGS_EQUAL(1, statistics.ledWithCopy);
 }
 
-TEST(QuotaShard, HandsAQuestionOnToTheLeader) {
+TEST(QuotaShard, ForwardsARequestToTheLeader) {
     ask(3);
     store.finishLoad(loadedRecord("n2/1", "", 7));
     LONGS_EQUAL(1, sent.questions.size());
@@ -198,7 +198,7 @@
     CHECK_TRUE(answers.back() == answer);
 }
 
-TEST(QuotaShard, AfterAPlannedStopTheRecordSaysWhatCounts) {
+TEST(QuotaShard, APlannedShutdownWritesTheCountedUnitsToTheRecord) {
     lead();
     shard->release();
     const QuotaShardRecord& released = store.saved.back();
@@ -294,7 +294,7 @@
     CHECK_TRUE(granted + 46 <= 185);
 }
 
-TEST(QuotaShard, AClaimThatWasNotDoneDoesNotKeepTheNodeFromBeingADeputy) {
+TEST(QuotaShard, AFailedClaimDoesNotKeepTheNodeFromBecomingADeputy) {
     ask(1);
     LoadedShard none;
     none.outcome = StoreOutcome::Done;
@@ -321,7 +321,7 @@
     return loaded;
 }
 
-TEST(QuotaShardDeputy, LeavesItToAnotherInReachThatHasComeFirst) {
+TEST(QuotaShardDeputy, DoesNotJoinBesideAReachableDeputyThatCameFirst) {
     askToBeDeputy();
     sent.reachable = true;
     store.finishSave({StoreOutcome::Conflict, {}});
@@ -329,7 +329,7 @@
     LONGS_EQUAL(1, store.saved.size());
 }
 
-TEST(QuotaShardDeputy, JoinsAnotherThatIsOutOfReach) {
+TEST(QuotaShardDeputy, JoinsBesideAnUnreachableDeputy) {
     askToBeDeputy();
     store.finishSave({StoreOutcome::Conflict, {}});
     store.finishLoad(recordWithDeputy());
@@ -337,7 +337,7 @@
 }
 
 /** A part that was written before the tenant's first request is rewritten at once. */
-TEST(QuotaShardDeputy, ATenantsFirstAllowanceWaitsForNoPause) {
+TEST(QuotaShardDeputy, ATenantsFirstAllowanceIsWrittenWithoutDelay) {
     sent.reachable = false;
     ask(0);
     store.finishLoad(loadedRecord("n2/1", "n3/1", 7));
@@ -348,7 +348,7 @@
     LONGS_EQUAL(2, store.saved.size());
 }
 
-TEST(QuotaShardDeputy, MayNotHaveWhatTheLeaderHas) {
+TEST(QuotaShardDeputy, MayNotGrantUnitsOfTheLeadersPart) {
     sent.reachable = false;
     ask(1);
     LoadedShard full = loadedRecord("n2/1", "n3/1", 7);
@@ -359,7 +359,7 @@
     UNSIGNED_LONGS_EQUAL(5, allowedToDeputy(store.saved.at(0)));
 }
 
-TEST(QuotaShardDeputy, GrantsNothingAfterItsLease) {
+TEST(QuotaShardDeputy, GrantsNothingAfterItsLeaseHasExpired) {
     askToBeDeputy();
     store.finishSave({StoreOutcome::Done, {0, 8}});
     UNSIGNED_LONGS_EQUAL(1, granted());
@@ -381,7 +381,7 @@
     UNSIGNED_LONGS_EQUAL(46, granted());
 }
 
-TEST(QuotaShardDeputy, WritesThatItGrantsNoMoreOnceTheLeaderAnswers) {
+TEST(QuotaShardDeputy, RecordsItsWithdrawalOnceTheLeaderResponds) {
     askToBeDeputy();
     store.finishSave({StoreOutcome::Done, {0, 8}});
     sent.reachable = true;
@@ -404,7 +404,7 @@
     LONGS_EQUAL(before + 1, sent.questions.size());
 }
 
-TEST(QuotaShardDeputy, ItsPartStaysWhereAClaimIsFoundDoneByReading) {
+TEST(QuotaShardDeputy, ItsPartIsKeptWhenAClaimIsDiscoveredByReading) {
     ask(1);
     LoadedShard former = loadedRecord("n1/0", "", 7);
     former.record.deputies.push_back({{NodeName("n5"), "n5/1"}, true, 1, {{kTenant, {{}, 100}}}});
