--- a/tests/tenancy/QuotaDeputyTest.cpp
+++ b/tests/tenancy/QuotaDeputyTest.cpp
@@ -163,7 +163,7 @@
     void heal() { network.cutFromEachOther({}); }
 
     /** @return counters of the half with the leader, or of the other half. */
-    Served judged(bool ofLeader) const {
+    Served countersOfHalf(bool ofLeader) const {
         Served served;
         for (std::size_t node = 0; node < kNodes; ++node) {
             if ((isFirst(node) == _leadsFirst) == ofLeader) {
@@ -176,11 +176,11 @@
 
     /** Runs the simulation and adds the decisions made during the run. */
     void play(Duration duration, Served& withLeader, Served& without) {
-        const Served leaderBefore = judged(true);
-        const Served otherBefore = judged(false);
+        const Served leaderBefore = countersOfHalf(true);
+        const Served otherBefore = countersOfHalf(false);
         play(duration);
-        add(withLeader, leaderBefore, judged(true));
-        add(without, otherBefore, judged(false));
+        add(withLeader, leaderBefore, countersOfHalf(true));
+        add(without, otherBefore, countersOfHalf(false));
     }
 
     static constexpr std::size_t kNodes = 12;
--- a/tests/tenancy/QuotaStoreReturnTest.cpp
+++ b/tests/tenancy/QuotaStoreReturnTest.cpp
@@ -29,7 +29,7 @@
         none.record.version.era = 1;
         store.finishLoad(none);
         store.finishSave({StoreOutcome::Done, {1, 11}});
-        UNSIGNED_LONGS_EQUAL(1, answers.size());
+        UNSIGNED_LONGS_EQUAL(1, responses.size());
     }
 
     /** Restores the store from an older copy and shows the leader the restored record. */
@@ -68,8 +68,8 @@
 
     std::uint32_t granted() const {
         std::uint32_t units = 0;
-        for (const QuotaResponse& answer : answers) {
-            units += answer.granted;
+        for (const QuotaResponse& response : responses) {
+            units += response.granted;
         }
         return units;
     }
--- a/tests/tenancy/ShardFixture.h
+++ b/tests/tenancy/ShardFixture.h
@@ -31,13 +31,13 @@
         saved.push_back(record);
         saves.push_back(std::move(callback));
     }
-    void finishLoad(const LoadedShard& answer) {
+    void finishLoad(const LoadedShard& response) {
         const auto callback = std::exchange(loads, {}).back();
-        callback(answer);
+        callback(response);
     }
-    void finishSave(const SavedShard& answer) {
+    void finishSave(const SavedShard& response) {
         const auto callback = std::exchange(saves, {}).back();
-        callback(answer);
+        callback(response);
     }
 
     std::vector<std::function<void(const LoadedShard&)>> loads;
@@ -50,8 +50,8 @@
 public:
     bool canReach(const NodeName& /*node*/) const override { return reachable; }
     void sendQuotaRequest(const NodeName& /*node*/, std::uint64_t number,
-                          const QuotaRequest& asked) override {
-        questions.push_back(asked);
+                          const QuotaRequest& request) override {
+        requests.push_back(request);
         lastNumber = number;
     }
     void updateLedger(const NodeName& /*node*/, std::uint64_t number,
@@ -61,7 +61,7 @@
     }
 
     bool reachable = true;
-    std::vector<QuotaRequest> questions;
+    std::vector<QuotaRequest> requests;
     std::vector<LedgerUpdate> updates;
     std::uint64_t lastNumber = 0;
 };
@@ -79,7 +79,7 @@
     TenantDirectory tenants{1, {{kShardTenant, kShardQuota, {}}}, {}};
     std::vector<pooling::ProxyNode> peers;
     std::unique_ptr<QuotaShard> shard;
-    std::vector<QuotaResponse> answers;
+    std::vector<QuotaResponse> responses;
 
     void setup() override {
         shard = std::make_unique<QuotaShard>(
@@ -99,12 +99,13 @@
     }
 
     void ask(std::uint32_t units, bool leaderSilent = false) {
-        QuotaRequest question;
-        question.tenant = kShardTenant;
-        question.wanted = units;
-        question.usableFor = std::chrono::milliseconds(500);
-        question.leaderSilent = leaderSilent;
-        shard->ask(question, [this](const QuotaResponse& answer) { answers.push_back(answer); });
+        QuotaRequest request;
+        request.tenant = kShardTenant;
+        request.wanted = units;
+        request.usableFor = std::chrono::milliseconds(500);
+        request.leaderSilent = leaderSilent;
+        shard->ask(request,
+                   [this](const QuotaResponse& response) { responses.push_back(response); });
     }
 
     static LoadedShard loadedRecord(const char* leader, const char* standby,
--- a/tests/tenancy/ShardLeaderTest.cpp
+++ b/tests/tenancy/ShardLeaderTest.cpp
@@ -53,14 +53,14 @@
 
 TEST(QuotaShard, LeadsOnlyOnceTheRecordNamesIt) {
     ask(1);
-    CHECK_TRUE(answers.empty());
+    CHECK_TRUE(responses.empty());
     LoadedShard none;
     none.outcome = StoreOutcome::Done;
     store.finishLoad(none);
-    CHECK_TRUE(answers.empty());
+    CHECK_TRUE(responses.empty());
     store.finishSave({StoreOutcome::Done, {0, 11}});
-    LONGS_EQUAL(1, answers.size());
-    UNSIGNED_LONGS_EQUAL(1, answers[0].granted);
+    LONGS_EQUAL(1, responses.size());
+    UNSIGNED_LONGS_EQUAL(1, responses[0].granted);
 }
 
 TEST(QuotaShard, TheLeaseBeginsWhenTheWriteIsSent) {
@@ -73,21 +73,21 @@
     // The renewal gets no response. The lease of 6 s began 0.6 s before the first response.
     clock.advance(milliseconds(5399));
     ask(1);
-    LONGS_EQUAL(2, answers.size());
-    UNSIGNED_LONGS_EQUAL(1, answers[1].granted);
+    LONGS_EQUAL(2, responses.size());
+    UNSIGNED_LONGS_EQUAL(1, responses[1].granted);
     clock.advance(milliseconds(1));
     ask(1);
-    LONGS_EQUAL(2, answers.size());
+    LONGS_EQUAL(2, responses.size());
     clock.advance(milliseconds(250));
     shard->onTick(clock.now());
-    CHECK_TRUE(answers.back().declined);
+    CHECK_TRUE(responses.back().declined);
 }
 
 TEST(QuotaShard, AnotherNodesShardIsNotTakenBeforeItsLeaseHasEnded) {
     sent.reachable = false;
     ask(1);
     store.finishLoad(crowdedRecord("n2/1", 7));
-    CHECK_TRUE(answers.back().declined);
+    CHECK_TRUE(responses.back().declined);
     clock.advance(milliseconds(6599));
     ask(1);
     store.finishLoad(crowdedRecord("n2/1", 7));
@@ -116,10 +116,10 @@
     store.finishLoad(loadedRecord("n1/0", "", 7));
     store.finishSave({StoreOutcome::Done, {0, 8}});
     // Of a bound of 185, 40 units count for a second at most, and 30 more were allowed.
-    std::uint32_t granted = answers.back().granted;
-    while (answers.back().granted > 0) {
+    std::uint32_t granted = responses.back().granted;
+    while (responses.back().granted > 0) {
         ask(100);
-        granted += answers.back().granted;
+        granted += responses.back().granted;
         clock.advance(milliseconds(200));
         if (clock.now() - TimePoint(std::chrono::hours(1)) > milliseconds(900)) {
             break;
@@ -140,12 +140,12 @@
     LONGS_EQUAL(1, store.saved.size());
     calls.onAck(sent.lastNumber, LedgerAck{true, "n2/1"});
     CHECK_TRUE(store.saved.back().standby == (NodeIncarnation{NodeName("n2"), "n2/1"}));
-    const std::size_t before = answers.size();
+    const std::size_t before = responses.size();
     ask(1);
-    LONGS_EQUAL(before, answers.size());
+    LONGS_EQUAL(before, responses.size());
     LONGS_EQUAL(3, sent.updates.size());
     calls.onAck(sent.lastNumber, LedgerAck{true, "n2/1"});
-    LONGS_EQUAL(before + 1, answers.size());
+    LONGS_EQUAL(before + 1, responses.size());
 }
 
 TEST(QuotaShard, ALeaderThatLosesItsStandbyGrantsNothingUntilTheRecordNoLongerNamesTheStandby) {
@@ -153,15 +153,15 @@
     lead();
     calls.onAck(sent.lastNumber, LedgerAck{true, "n2/1"});
     store.finishSave({StoreOutcome::Done, {0, 12}});
-    const std::size_t before = answers.size();
+    const std::size_t before = responses.size();
     ask(1);
     calls.onAck(sent.lastNumber, std::nullopt);
     ask(1);
-    LONGS_EQUAL(before, answers.size());
+    LONGS_EQUAL(before, responses.size());
     CHECK_FALSE(store.saved.back().standby.exists());
     peers.clear();
     store.finishSave({StoreOutcome::Done, {0, 13}});
-    LONGS_EQUAL(before + 2, answers.size());
+    LONGS_EQUAL(before + 2, responses.size());
 }
 
 TEST(QuotaShard, AStandbyLeadsAtOnceWhenNobodyHearsFromTheLeader) {
@@ -182,20 +182,20 @@
     update.sequence = 2;
     CHECK_FALSE(shard->takeUpdate(update).accepted);
     store.finishSave({StoreOutcome::Done, {0, 8}});
-    UNSIGNED_LONGS_EQUAL(1, answers.back().granted);
+    UNSIGNED_LONGS_EQUAL(1, responses.back().granted);
     UNSIGNED_LONGS_EQUAL(1, statistics.ledWithCopy);
 }
 
 TEST(QuotaShard, ForwardsARequestToTheLeader) {
     ask(3);
     store.finishLoad(loadedRecord("n2/1", "", 7));
-    LONGS_EQUAL(1, sent.questions.size());
-    UNSIGNED_LONGS_EQUAL(1, sent.questions[0].hops);
-    QuotaResponse answer;
-    answer.granted = 3;
-    answer.leader = NodeName("n2");
-    calls.onAnswer(sent.lastNumber, answer);
-    CHECK_TRUE(answers.back() == answer);
+    LONGS_EQUAL(1, sent.requests.size());
+    UNSIGNED_LONGS_EQUAL(1, sent.requests[0].hops);
+    QuotaResponse response;
+    response.granted = 3;
+    response.leader = NodeName("n2");
+    calls.onAnswer(sent.lastNumber, response);
+    CHECK_TRUE(responses.back() == response);
 }
 
 TEST(QuotaShard, APlannedShutdownWritesTheCountedUnitsToTheRecord) {
@@ -210,7 +210,7 @@
     }
     UNSIGNED_LONGS_EQUAL(1, counting);
     ask(1);
-    CHECK_TRUE(answers.size() == 1 || answers.back().declined);
+    CHECK_TRUE(responses.size() == 1 || responses.back().declined);
 }
 
 /** @return units that the part of the record's only deputy allows. */
@@ -230,8 +230,8 @@
 /** @return total units granted in response to many requests. */
 std::uint32_t granted() const {
     std::uint32_t units = 0;
-    for (const QuotaResponse& answer : answers) {
-        units += answer.granted;
+    for (const QuotaResponse& response : responses) {
+        units += response.granted;
     }
     return units;
 }
@@ -274,21 +274,22 @@
     store.finishSave({StoreOutcome::Done, {0, 13}});
     clock.advance(milliseconds(1500));
     for (std::uint64_t number = 1; number <= 40; ++number) {
-        QuotaRequest question;
-        question.tenant = kTenant;
-        question.wanted = 20;
-        question.usableFor = milliseconds(500);
-        question.settled.push_back({{12, number}, 0, milliseconds(0)});
-        shard->ask(question, [this](const QuotaResponse& answer) { answers.push_back(answer); });
+        QuotaRequest request;
+        request.tenant = kTenant;
+        request.wanted = 20;
+        request.usableFor = milliseconds(500);
+        request.settled.push_back({{12, number}, 0, milliseconds(0)});
+        shard->ask(request,
+                   [this](const QuotaResponse& response) { responses.push_back(response); });
         clock.advance(milliseconds(100));
         if (!store.saves.empty()) {
             store.finishSave({StoreOutcome::Done, {0, 13 + number}});
         }
     }
     std::uint32_t granted = 0;
-    for (const QuotaResponse& answer : answers) {
-        granted += answer.granted;
-        CHECK_TRUE(answer.batch.term != 12);
+    for (const QuotaResponse& response : responses) {
+        granted += response.granted;
+        CHECK_TRUE(response.batch.term != 12);
     }
     CHECK_TRUE(granted > 0);
     CHECK_TRUE(granted + 46 <= 185);
@@ -399,9 +400,9 @@
         counting += units;
     }
     UNSIGNED_LONGS_EQUAL(2, counting);
-    const std::size_t before = sent.questions.size();
+    const std::size_t before = sent.requests.size();
     ask(1);
-    LONGS_EQUAL(before + 1, sent.questions.size());
+    LONGS_EQUAL(before + 1, sent.requests.size());
 }
 
 TEST(QuotaShardDeputy, ItsPartIsKeptWhenAClaimIsDiscoveredByReading) {
