--- a/src/tenancy/QuotaShard.cpp
+++ b/src/tenancy/QuotaShard.cpp
@@ -10,47 +10,50 @@
 
 using std::chrono::milliseconds;
 
-/** What was read of the record serves so long for deciding who may lead. */
-constexpr Duration kReadAgainAfter = milliseconds(300);
-/** Pause after a call of the store that failed, and between readings that changed nothing. */
+/** Time for which a read of the record is recent enough to decide who may lead. */
+constexpr Duration kRecordMaxAge = milliseconds(300);
+/** Delay after a failed store call, and between reads that changed nothing. */
 constexpr Duration kRetryPause = milliseconds(200);
-/** A standby that has had no update for so long while questions came to it for want of an answer
- * leads: each grant is an update. A wrong guess costs two calls of the store. */
+/** A standby takes over when it has had no update for this time while requests reached it because
+ * the leader did not respond. Each grant is an update. A wrong takeover costs two store calls. */
 constexpr Duration kLeaderSilence = milliseconds(150);
-/** A leader that declined a question may have lost its lease: it can't reach the store. */
-constexpr Duration kDeclinedCounts = std::chrono::seconds(1);
+/** Time for which a declined request is evidence that the leader may have lost its lease because it
+ * can't reach the store. */
+constexpr Duration kDeclineValidity = std::chrono::seconds(1);
 constexpr Duration kLongestRetry = std::chrono::seconds(1);
-/** Questions that only find out who grants are handed on so often: many nodes ask them at once. */
-constexpr Duration kProbeEvery = milliseconds(200);
+/** Shortest interval between forwarded probes, which only find out which node grants units. Many
+ * nodes send probes at the same time. */
+constexpr Duration kProbeInterval = milliseconds(200);
 
 }  // namespace
 
-void QuotaShard::ask(const QuotaQuestion& question, QuotaReply reply) {
+void QuotaShard::ask(const QuotaRequest& request, QuotaReply reply) {
     if (leads()) {
-        _leader->ask(question, std::move(reply));
+        _leader->ask(request, std::move(reply));
         return;
     }
     const TimePoint now = _context.clock.now();
-    const bool isProbe = question.wanted == 0 && question.settled.empty();
-    if (isProbe && !isDeputy() && now - _probedAt < kProbeEvery) {
-        reply(declinedAnswer(kRetryPause));
+    const bool isProbe = request.wanted == 0 && request.settled.empty();
+    if (isProbe && !isDeputy() && now - _probedAt < kProbeInterval) {
+        reply(declinedResponse(kRetryPause));
         return;
     }
     _probedAt = isProbe ? now : _probedAt;
-    _tenant = question.tenant;
+    _tenant = request.tenant;
     noteReach(now);
     if (isDeputy()) {
-        _deputy->ask(question, std::move(reply));
+        _deputy->ask(request, std::move(reply));
         return;
     }
-    relayOrSeek({question, std::move(reply), now}, now);
+    relayOrResolveLeader({request, std::move(reply), now}, now);
 }
 
-bool QuotaShard::canReach(const NodeLife& life) const {
-    return life.exists() && life.node != _context.self.node && _context.calls.canReach(life.node);
+bool QuotaShard::canReach(const NodeIncarnation& incarnation) const {
+    return incarnation.exists() && incarnation.node != _context.self.node &&
+           _context.calls.canReach(incarnation.node);
 }
 
-/** @return the node to which a question is handed on, by what is known. */
+/** @return the node to which a request is forwarded, according to the known record. */
 std::optional<NodeName> QuotaShard::relayTarget() const {
     if (!_known) {
         return std::nullopt;
@@ -64,105 +67,111 @@
     return reachableDeputy();
 }
 
-/** @return whether neither the asking node nor this one, the standby, hears from the leader. */
-bool QuotaShard::isSilentToStandby(const HeldQuestion& held, TimePoint now) const {
-    return held.question.leaderSilent && _known && _copy.isOf(_known->record().leader.life) &&
-           now - _copy.heardAt() >= kLeaderSilence;
+/** @return whether the requesting node gets no response from the leader and this node, its standby,
+ * gets no updates from it. */
+bool QuotaShard::isSilentToStandby(const QueuedQuotaRequest& queued, TimePoint now) const {
+    return queued.request.leaderSilent && _known &&
+           _copy.isOf(_known->record().leader.incarnation) &&
+           now - _copy.lastUpdateAt() >= kLeaderSilence;
 }
 
-void QuotaShard::relayOrSeek(HeldQuestion held, TimePoint now) {
+void QuotaShard::relayOrResolveLeader(QueuedQuotaRequest queued, TimePoint now) {
     const std::optional<NodeName> target = relayTarget();
-    const bool mayHandOn = target && held.question.hops < kMostQuotaHops;
+    const bool mayForward = target && queued.request.hops < kMostQuotaHops;
     const bool isWaitedForLong = now >= deputyDue();
-    if (mayHandOn && !isWaitedForLong && !_copy.isOffered(now) && !isSilentToStandby(held, now)) {
-        relay(*target, std::move(held));
+    if (mayForward && !isWaitedForLong && !_copy.isOffered(now) &&
+        !isSilentToStandby(queued, now)) {
+        relay(*target, std::move(queued));
         return;
     }
-    _held.hold(std::move(held));
-    seek(now);
+    _queue.add(std::move(queued));
+    resolveLeader(now);
 }
 
-/** An answer that declines shows that the record has changed, or that the node can't tell. */
-void QuotaShard::relay(const NodeName& node, HeldQuestion held) {
+/** Forwards the request. A declined response shows that the record has changed or that the node
+ * can't determine who leads. */
+void QuotaShard::relay(const NodeName& node, QueuedQuotaRequest queued) {
     ++_context.statistics.relayed;
-    QuotaQuestion question = held.question;
-    ++question.hops;
-    question.leaderSilent = question.leaderSilent || node != _known->record().leader.node;
-    const NodeLife& standby = _known->record().standby;
-    const bool isProbe = question.wanted == 0;
-    if ((isProbe || question.leaderSilent) && node != standby.node && canReach(standby)) {
-        // If it is out of reach too, that shows at the same time.
-        probe(standby.node, question, [](const QuotaAnswer& /*answer*/) {});
-    }
-    _context.calls.ask(node, question,
-                       [this, alive = std::weak_ptr<bool>(_alive), node,
-                        held = std::move(held)](const std::optional<QuotaAnswer>& answer) mutable {
-                           if (alive.expired()) {
-                               return;
-                           }
-                           if (answer && !answer->declined) {
-                               _cutOffSince.reset();
-                               held.reply(*answer);
-                               return;
-                           }
-                           const TimePoint now = _context.clock.now();
-                           mustReadAgain(now);
-                           noteReach(now);
-                           if (answer && _known && node == _known->record().leader.node) {
-                               _leaderDeclinedAt = now;
-                           }
-                           if (answer || (held.isOverdue(now) && !waitsToBeDeputy())) {
-                               decline(held, answer ? answer->retryAfter : kRetryPause);
-                           } else {
-                               _held.hold(std::move(held));
-                           }
-                           seek(now);
-                       });
+    QuotaRequest request = queued.request;
+    ++request.hops;
+    request.leaderSilent = request.leaderSilent || node != _known->record().leader.node;
+    const NodeIncarnation& standby = _known->record().standby;
+    const bool isProbe = request.wanted == 0;
+    if ((isProbe || request.leaderSilent) && node != standby.node && canReach(standby)) {
+        // Probing the standby in parallel finds out without further delay whether it is unreachable
+        // too.
+        probe(standby.node, request, [](const QuotaResponse& /*response*/) {});
+    }
+    _context.calls.ask(
+        node, request,
+        [this, alive = std::weak_ptr<bool>(_alive), node,
+         queued = std::move(queued)](const std::optional<QuotaResponse>& response) mutable {
+            if (alive.expired()) {
+                return;
+            }
+            if (response && !response->declined) {
+                _cutOffSince.reset();
+                queued.reply(*response);
+                return;
+            }
+            const TimePoint now = _context.clock.now();
+            requireReload(now);
+            noteReach(now);
+            if (response && _known && node == _known->record().leader.node) {
+                _leaderDeclinedAt = now;
+            }
+            if (response || (queued.isOverdue(now) && !waitsToBeDeputy())) {
+                decline(queued, response ? response->retryAfter : kRetryPause);
+            } else {
+                _queue.add(std::move(queued));
+            }
+            resolveLeader(now);
+        });
 }
 
-/** What is known of the record is not enough for the next decision. */
-void QuotaShard::mustReadAgain(TimePoint now) {
+/** Requires a new read of the record before the next decision. */
+void QuotaShard::requireReload(TimePoint now) {
     if (_known) {
-        _known->loadedAt = std::min(_known->loadedAt, now - kReadAgainAfter);
+        _known->loadedAt = std::min(_known->loadedAt, now - kRecordMaxAge);
     }
 }
 
-void QuotaShard::decline(const HeldQuestion& held, Duration retryAfter) {
-    _held.decline(held, std::clamp(retryAfter, kRetryPause, kLongestRetry));
+void QuotaShard::decline(const QueuedQuotaRequest& queued, Duration retryAfter) {
+    _queue.decline(queued, std::clamp(retryAfter, kRetryPause, kLongestRetry));
 }
 
-void QuotaShard::declineHeld(Duration retryAfter) {
-    for (const HeldQuestion& held : _held.takeAll()) {
-        decline(held, retryAfter);
+void QuotaShard::declineQueued(Duration retryAfter) {
+    for (const QueuedQuotaRequest& queued : _queue.takeAll()) {
+        decline(queued, retryAfter);
     }
 }
 
-/** Questions that waited for the record go to whom it names. */
-void QuotaShard::handOnHeld() {
+/** Passes queued requests to the node that the record names. */
+void QuotaShard::dispatchQueued() {
     const std::optional<NodeName> target = relayTarget();
     if (!target && waitsToBeDeputy()) {
         _notBefore = std::max(_notBefore, deputyDue());
         return;
     }
-    for (HeldQuestion& held : _held.takeAll()) {
+    for (QueuedQuotaRequest& queued : _queue.takeAll()) {
         if (leads()) {
-            _leader->ask(held.question, std::move(held.reply));
+            _leader->ask(queued.request, std::move(queued.reply));
         } else if (isDeputy()) {
-            _deputy->ask(held.question, std::move(held.reply));
-        } else if (target && held.question.hops < kMostQuotaHops) {
-            relay(*target, std::move(held));
+            _deputy->ask(queued.request, std::move(queued.reply));
+        } else if (target && queued.request.hops < kMostQuotaHops) {
+            relay(*target, std::move(queued));
         } else {
-            decline(held, kRetryPause);
+            decline(queued, kRetryPause);
         }
     }
 }
 
-/** Finds out who leads, or leads. */
-void QuotaShard::seek(TimePoint now) {
+/** Finds out which node leads, or takes over leadership. */
+void QuotaShard::resolveLeader(TimePoint now) {
     if (_calling || leads() || now < _notBefore) {
         return;
     }
-    if (!_known || now - _known->loadedAt >= kReadAgainAfter || !isOfPresentEra()) {
+    if (!_known || now - _known->loadedAt >= kRecordMaxAge || !isOfPresentEra()) {
         load(now);
     } else {
         decide(now);
@@ -184,7 +193,7 @@
 void QuotaShard::onLoaded(const LoadedShard& loaded) {
     const TimePoint now = _context.clock.now();
     if (loaded.outcome != StoreOutcome::Done) {
-        declineHeld(kRetryPause);
+        declineQueued(kRetryPause);
         return;
     }
     if (!_known) {
@@ -196,40 +205,40 @@
     const bool isReplaced =
         loaded.record.version != _claimedUnder && loaded.record.leader != _context.self;
     if (isReplaced || isOtherEra) {
-        // Another writing was done in the claim's place, or the store has lost it.
+        // Another write was applied in place of the claim, or the store has lost the claim.
         _claimPending = false;
     }
     noteReach(now);
     const bool isCopied =
-        _copy.isOf(loaded.record.leader.life) && loaded.record.standby == _context.self;
+        _copy.isOf(loaded.record.leader.incarnation) && loaded.record.standby == _context.self;
     if ((_copy.isSealed() || _copy.isReleased()) && !isCopied) {
         _copy.drop();
     }
     decide(now);
 }
 
-/** @return whether the record was read since the store returned last. */
+/** @return whether the record was read after the store was last restored from an older copy. */
 bool QuotaShard::isOfPresentEra() const {
     return _known->record().version.era == _context.era.current();
 }
 
-/** @return whether no later writing of the record can have been lost. */
+/** @return whether the store can't have lost a later write of the record. */
 bool QuotaShard::isWrittenInPresentEra() const {
     const QuotaShardRecord& record = _known->record();
     return record.version.exists() ? record.writtenIn == _context.era.current()
                                    : !_context.era.hasReturned();
 }
 
-/** A record of an earlier era may name a standby that a lost writing has left behind. */
+/** A record of an earlier era may name a standby that a lost write has since removed. */
 bool QuotaShard::mayLeadWithCopy(TimePoint now) const {
     if (!isWrittenInPresentEra()) {
         return false;
     }
     const QuotaShardRecord& record = _known->record();
-    const bool isSilent =
-        std::any_of(_held.all().begin(), _held.all().end(),
-                    [this, now](const HeldQuestion& held) { return isSilentToStandby(held, now); });
-    return record.standby == _context.self && _copy.isOf(record.leader.life) &&
+    const bool isSilent = std::any_of(
+        _queue.all().begin(), _queue.all().end(),
+        [this, now](const QueuedQuotaRequest& queued) { return isSilentToStandby(queued, now); });
+    return record.standby == _context.self && _copy.isOf(record.leader.incarnation) &&
            (_copy.isOffered(now) || !canReach(record.leader) || isSilent);
 }
 
@@ -239,21 +248,21 @@
     }
     const QuotaShardRecord& record = _known->record();
     const bool isFree = !record.leader.exists();
-    // A standby to which this node has handed over leads with a copy.
+    // A standby to which this node has handed over takes over with its copy.
     const bool hasHandedOver = record.leader == _context.self && canReach(record.standby);
     const bool wasSelf = record.leader.node == _context.self.node && !hasHandedOver;
-    // The lease of whoever wrote this version has ended, if nobody writes another one meanwhile;
-    // the claim fails then.
-    const bool isSilent = !canReach(record.leader) || now - _leaderDeclinedAt < kDeclinedCounts;
+    // The lease of the leader that wrote this version has expired unless a newer version has been
+    // written in the meantime, and then the claim fails.
+    const bool isSilent = !canReach(record.leader) || now - _leaderDeclinedAt < kDeclineValidity;
     const bool hasLapsed = isSilent && now - _known->parts.leaderSeenAt() >= kShardLeaseOfOthers;
     return isFree || wasSelf || hasLapsed;
 }
 
-/** The record was read a moment ago. */
+/** Decides which node leads. The known record must have been read recently. */
 void QuotaShard::decide(TimePoint now) {
     const bool isOwnClaim = _known->record().leader == _context.self && isWrittenInPresentEra();
     if (isOwnClaim && _claimPending) {
-        // The claim was done. It grants once it has renewed the record.
+        // The claim was written. This node grants once it has renewed the record.
         lead(_known->record(), now);
     } else if (!_released && mayLeadWithCopy(now)) {
         _copy.seal();
@@ -265,14 +274,15 @@
     } else if (mayBeDeputy(now)) {
         becomeDeputy();
     }
-    handOnHeld();
+    dispatchQueued();
 }
 
-/** @return ledgers that count all that the former leader may have granted. */
+/** @return ledgers that count all units that the former leader may have granted. */
 ShardLedgers QuotaShard::inheritedLedgers(TimePoint now) const {
-    // A former life of this node stopped before this one began. Others wrote the record before it
-    // was read first, and have stopped by now, also where this life handed over and nobody leads.
-    const NodeLife& leader = _known->record().leader;
+    // A previous incarnation of this node stopped before this one began. Other leaders wrote the
+    // record before it was first read and have stopped by now; this also holds where this
+    // incarnation handed over and no node leads.
+    const NodeIncarnation& leader = _known->record().leader;
     const bool wasFormerLife = leader.node == _context.self.node && leader != _context.self;
     const TimePoint writtenBy = wasFormerLife
                                     ? std::min(_context.startedAt, _known->parts.leaderSeenAt())
@@ -299,7 +309,7 @@
     claimed.leader = _context.self;
     claimed.standby = {};
     claimed.tenants = leaderQuotas(_context, _known->parts, ledgers, now);
-    claimed.deputies = _known->parts.cleared(_context.terms.longestWindow(), now);
+    claimed.deputies = _known->parts.partsForNextVersion(_context.terms.longestWindow(), now);
     ++claimed.renewals;
     _claimedLedgers = std::move(ledgers);
     _claimedWithCopy = withCopy;
@@ -325,9 +335,9 @@
         QuotaShardRecord record = claimed;
         record.version = saved.version;
         lead(record, sentAt + kShardLease);
-        handOnHeld();
+        dispatchQueued();
     } else if (saved.outcome == StoreOutcome::Unavailable) {
-        declineHeld(kRetryPause);
+        declineQueued(kRetryPause);
     } else {
         load(now);
     }
@@ -353,12 +363,12 @@
 LedgerAck QuotaShard::takeUpdate(const LedgerUpdate& update) {
     const TimePoint now = _context.clock.now();
     LedgerAck ack;
-    ack.life = _context.self.life;
+    ack.incarnation = _context.self.incarnation;
     const auto windowOf = [this](const TenantName& tenant) { return _context.windowOf(tenant); };
-    ack.accepted = !leads() && !_released && _copy.take(update, windowOf, now);
+    ack.accepted = !leads() && !_released && _copy.apply(update, windowOf, now);
     if (ack.accepted && _copy.isOffered(now)) {
-        mustReadAgain(now);
-        seek(now);
+        requireReload(now);
+        resolveLeader(now);
     }
     return ack;
 }
@@ -376,8 +386,8 @@
 void QuotaShard::onTick(TimePoint now) {
     tickDeputy(now);
     if (_leader && _leader->hasEnded()) {
-        for (HeldQuestion& held : _leader->takeHeld()) {
-            _held.hold(std::move(held));
+        for (QueuedQuotaRequest& queued : _leader->takeQueued()) {
+            _queue.add(std::move(queued));
         }
         followSuccessor(now);
     }
@@ -385,9 +395,9 @@
         _leader->onTick(now);
         return;
     }
-    _held.declineOverdue(now);
-    if (!_held.empty() || _copy.isReleased()) {
-        seek(now);
+    _queue.declineOverdue(now);
+    if (!_queue.empty() || _copy.isReleased()) {
+        resolveLeader(now);
     }
 }
 
@@ -397,8 +407,8 @@
     if (_leader) {
         return _leader->hasEnded() ? TimePoint::min() : std::min(deputy, _leader->nextTick());
     }
-    TimePoint next = std::min(deputy, _held.dueAt());
-    if (!_calling && (!_held.empty() || _copy.isReleased())) {
+    TimePoint next = std::min(deputy, _queue.dueAt());
+    if (!_calling && (!_queue.empty() || _copy.isReleased())) {
         next = std::min(next, _notBefore);
     }
     return next;
--- a/src/tenancy/RecordParts.cpp
+++ b/src/tenancy/RecordParts.cpp
@@ -9,7 +9,7 @@
 namespace coralhoist::tenancy {
 namespace {
 
-/** @return units of the part that count at the given time, if it was written at the other. */
+/** @return units of the part that count at `now`, if the part was written at `writtenAt`. */
 std::uint32_t countingAt(const RecordedQuota& quota, TimePoint writtenAt, TimePoint now) {
     std::uint32_t units = 0;
     for (std::size_t index = 0; index < quota.counting.size(); ++index) {
@@ -27,12 +27,12 @@
     counting[index] += units;
 }
 
-/** @return the index of what counts for so long still. */
+/** @return the index of units that still count for the given time. */
 std::size_t indexFor(Duration left) {
     return static_cast<std::size_t>(left / kCountingStep);
 }
 
-/** @return units that count now, by how long they still do. */
+/** @return the units that count now, grouped by how long they still count. */
 std::vector<std::uint32_t> agedCounting(const RecordedQuota& quota, TimePoint writtenAt,
                                         TimePoint now) {
     std::vector<std::uint32_t> aged;
@@ -50,7 +50,8 @@
                        [](const auto& entry) { return entry.second.allowance > 0; });
 }
 
-/** @return whether the leader may have written since: a writing of a deputy leaves its part. */
+/** @return whether the leader may have written the record in between. A deputy's write leaves the
+ * leader's part unchanged. */
 bool mayHaveWrittenLeader(const QuotaShardRecord& known, const QuotaShardRecord& read) {
     const bool isSame = known.leader == read.leader && known.standby == read.standby &&
                         known.renewals == read.renewals && known.tenants == read.tenants;
@@ -59,7 +60,7 @@
 
 }  // namespace
 
-const DeputyPart* findPart(const std::vector<DeputyPart>& parts, const NodeLife& deputy) {
+const DeputyPart* findPart(const std::vector<DeputyPart>& parts, const NodeIncarnation& deputy) {
     const auto found = std::find_if(parts.begin(), parts.end(), [&deputy](const DeputyPart& part) {
         return part.holder == deputy;
     });
@@ -72,16 +73,16 @@
     }
     std::map<std::string, Seen> seen;
     for (const DeputyPart& part : record.deputies) {
-        const auto before = _seen.find(part.holder.life);
+        const auto before = _seen.find(part.holder.incarnation);
         const bool isKnown = before != _seen.end() && before->second.part == part;
-        seen[part.holder.life] = {part, isKnown ? before->second.at : now};
+        seen[part.holder.incarnation] = {part, isKnown ? before->second.at : now};
     }
     _seen = std::move(seen);
     _record = record;
 }
 
 TimePoint RecordParts::seenAt(const DeputyPart& part, TimePoint now) const {
-    const auto found = _seen.find(part.holder.life);
+    const auto found = _seen.find(part.holder.incarnation);
     return found == _seen.end() ? now : found->second.at;
 }
 
@@ -128,7 +129,7 @@
     }
 }
 
-ForeignUnits RecordParts::besidesDeputy(const NodeLife& deputy, const TenantName& tenant,
+ForeignUnits RecordParts::besidesDeputy(const NodeIncarnation& deputy, const TenantName& tenant,
                                         TimePoint now) const {
     ForeignUnits units;
     for (const DeputyPart& part : _record.deputies) {
@@ -145,10 +146,12 @@
     return units;
 }
 
-/** @return the part of a holder whose lease is over: what it allowed counts. */
+/** @return the part of a holder whose lease has expired, with its allowance turned into counting
+ * units. */
 DeputyPart RecordParts::ended(const DeputyPart& part, Duration window, TimePoint now) const {
     const TimePoint seen = seenAt(part, now);
-    // No unit that it granted runs later, and each counts for a window more.
+    // No unit that the holder granted runs after its lease and the longest quota lease, and each
+    // unit counts for one more window.
     const TimePoint countsUntil = seen + kShardLeaseOfOthers + kLongestQuotaLease + window;
     DeputyPart ended = part;
     ended.grants = false;
@@ -170,7 +173,7 @@
                        });
 }
 
-std::vector<DeputyPart> RecordParts::cleared(Duration window, TimePoint now) const {
+std::vector<DeputyPart> RecordParts::partsForNextVersion(Duration window, TimePoint now) const {
     std::vector<DeputyPart> parts;
     for (const DeputyPart& part : _record.deputies) {
         const bool mayBeUsed = part.grants || allowsAnything(part);
@@ -184,7 +187,7 @@
     return parts;
 }
 
-bool RecordParts::mayJoin(const NodeLife& deputy) const {
+bool RecordParts::mayJoin(const NodeIncarnation& deputy) const {
     return _record.deputies.size() < kMostDeputies || findPart(_record.deputies, deputy) != nullptr;
 }
 
--- a/src/tenancy/ShardLeader.cpp
+++ b/src/tenancy/ShardLeader.cpp
@@ -11,20 +11,21 @@
 
 using std::chrono::milliseconds;
 
-/** When to ask again a leader that can't answer now. */
+/** Retry delay for requests to a leader that can't respond now. */
 constexpr Duration kRetryAfterDecline = milliseconds(200);
 constexpr Duration kLongestRetry = std::chrono::seconds(1);
-/** The same where ranks matter: after a window all that counts now has ended. */
-constexpr Duration kLongestPutOff = std::chrono::seconds(5);
-/** A tenant of which more than this part of its bound counts uses most of its quota. */
+/** Longest retry delay where ranks matter. All units that count now have expired after one window.
+ */
+constexpr Duration kLongestDeferral = std::chrono::seconds(5);
+/** A tenant whose count exceeds this share of its bound uses most of its quota. */
 constexpr double kScarceAbove = 0.75;
-/** The record is written anew when a tenant has so small a part of its allowance left. */
+/** The record is rewritten when no more than this share of a tenant's allowance is left. */
 constexpr double kAllowanceLow = 0.3;
 
-/** @return what the question wants, the most urgent rank first. */
-std::vector<RankedWish> wishesOf(const QuotaQuestion& question) {
-    const auto wanted = [&question](std::size_t index) {
-        return index < question.wantedByRank.size() ? question.wantedByRank[index] : 0;
+/** @return the units that the request asks for, the most urgent rank first. */
+std::vector<RankedWish> wishesOf(const QuotaRequest& request) {
+    const auto wanted = [&request](std::size_t index) {
+        return index < request.wantedByRank.size() ? request.wantedByRank[index] : 0;
     };
     std::vector<RankedWish> wishes;
     for (std::uint32_t rank = 0; rank < settings::kAdmissionRanks; ++rank) {
@@ -37,9 +38,9 @@
     return wishes;
 }
 
-/** @return how long the units that are asked for are usable. */
-Duration usableFor(const QuotaQuestion& question) {
-    return std::min(question.usableFor, kLongestQuotaLease);
+/** @return how long the requested units are usable. */
+Duration usableFor(const QuotaRequest& request) {
+    return std::min(request.usableFor, kLongestQuotaLease);
 }
 
 }  // namespace
@@ -49,14 +50,15 @@
     : _context(context),
       _role(ShardRole::Leader),
       _parts(std::move(parts)),
-      // A version that was only read may be a deputy's writing, which names that one's batches.
+      // A version that this node has only read may be a deputy's write, and its token then
+      // identifies the deputy's batches.
       _term(context.clock.now() < leaseUntil ? _parts.record().version.token() : 0),
       _leaseUntil(leaseUntil),
       _ledgers(std::move(ledgers)),
       _allowances(_parts.record().tenants),
       _savedAt(leaseUntil - kShardLease),
       _askedAt(context.clock.now()),
-      _held(context.statistics.declined) {}
+      _queue(context.statistics.declined) {}
 
 bool ShardLeader::mayGrant(TimePoint now) const {
     return !_ended && !_withdrawn && now < _leaseUntil && _standbyState != StandbyState::Leaving;
@@ -66,43 +68,45 @@
     return _ledgers.try_emplace(tenant, _context.windowOf(tenant)).first->second;
 }
 
-void ShardLeader::ask(const QuotaQuestion& question, QuotaReply reply) {
+void ShardLeader::ask(const QuotaRequest& request, QuotaReply reply) {
     const TimePoint now = _context.clock.now();
     _askedAt = now;
-    for (const BatchSettlement& settlement : question.settled) {
-        const std::uint32_t unused = ledgerOf(question.tenant).settle(settlement, now);
-        _pacers[question.tenant].giveBack(unused);
+    for (const BatchSettlement& settlement : request.settled) {
+        const std::uint32_t unused = ledgerOf(request.tenant).settle(settlement, now);
+        _pacers[request.tenant].giveBack(unused);
     }
-    if (question.wanted > 0 && _context.tenants().find(question.tenant) != nullptr) {
-        // A deputy writes allowances of those that it was asked for.
-        ledgerOf(question.tenant);
+    if (request.wanted > 0 && _context.tenants().find(request.tenant) != nullptr) {
+        // A deputy writes allowances only for tenants for which it has received requests; the
+        // ledger marks them.
+        ledgerOf(request.tenant);
     }
-    HeldQuestion held{question, std::move(reply), now};
+    QueuedQuotaRequest queued{request, std::move(reply), now};
     if (mayGrant(now)) {
-        answer(std::move(held), now);
-    } else if (mayHandOn(question)) {
-        handOn(held);
+        answer(std::move(queued), now);
+    } else if (mayForward(request)) {
+        forwardToSuccessor(queued);
     } else {
-        _held.hold(std::move(held));
+        _queue.add(std::move(queued));
     }
     if (wantsSave(now)) {
         save(now);
     }
 }
 
-bool ShardLeader::mayHandOn(const QuotaQuestion& question) const {
+bool ShardLeader::mayForward(const QuotaRequest& request) const {
     return !_successor.value().empty() && _standbyState == StandbyState::Leaving &&
-           question.hops < kMostQuotaHops;
+           request.hops < kMostQuotaHops;
 }
 
-/** While this node can't write the record it can't learn who leads either. */
-void ShardLeader::handOn(const HeldQuestion& held) {
+/** Forwards the request to the probable new leader. While this node can't write the record, it
+ * can't read from it who leads either. */
+void ShardLeader::forwardToSuccessor(const QueuedQuotaRequest& queued) {
     ++_context.statistics.relayed;
-    QuotaQuestion question = held.question;
-    ++question.hops;
-    _context.calls.ask(_successor, question,
-                       [reply = held.reply](const std::optional<QuotaAnswer>& answer) {
-                           reply(answer.value_or(declinedAnswer(kRetryAfterDecline)));
+    QuotaRequest request = queued.request;
+    ++request.hops;
+    _context.calls.ask(_successor, request,
+                       [reply = queued.reply](const std::optional<QuotaResponse>& response) {
+                           reply(response.value_or(declinedResponse(kRetryAfterDecline)));
                        });
 }
 
@@ -113,7 +117,7 @@
     return bound - std::min(bound, ledgerOf(tenant.name).counted(now) + others);
 }
 
-/** @return units that bound and allowance leave. */
+/** @return the requested units, limited by what bound and allowance leave. */
 std::uint32_t ShardLeader::grantable(const Tenant& tenant, std::uint32_t wanted, TimePoint now) {
     const std::uint32_t free = freeUnits(tenant, now);
     const std::uint32_t left = _allowances.left(tenant.name);
@@ -121,35 +125,35 @@
     const bool isNamed = own != ownQuotas().end();
     const std::uint32_t allowed = isNamed ? own->second.allowance : 0;
     if (!isNamed) {
-        // The pause is for allowances that are used up: a tenant's first one waits for none.
+        // The pause applies only to allowances that are used up. A tenant's first allowance is
+        // written without waiting.
         _nextAllowanceAt = TimePoint{};
     }
     _needsAllowance = _needsAllowance || (free > 0 && left <= allowed * kAllowanceLow);
     return std::min({wanted, free, left});
 }
 
-/** @return units that are granted now, so that a flood is spread over time. */
+/** @return the units that are granted now. Pacing spreads a flood of requests over time. */
 std::uint32_t ShardLeader::paced(const Tenant& tenant, std::uint32_t units, TimePoint now) {
     return std::min(units, _pacers[tenant.name].available(_context.terms, tenant.quota, now));
 }
 
-/** @return whether ranks matter to the question and to this node. */
-bool ShardLeader::knowsTurns(const QuotaQuestion& question) const {
-    return !question.wantedByRank.empty() && _context.ranks != nullptr &&
+/** @return whether ranks matter to both the request and this node. */
+bool ShardLeader::usesRanks(const QuotaRequest& request) const {
+    return !request.wantedByRank.empty() && _context.ranks != nullptr &&
            _context.ranks->ranksDiffer;
 }
 
-ShardLeader::RankedGrant ShardLeader::grantOf(const Tenant& tenant, const QuotaQuestion& question,
+ShardLeader::RankedGrant ShardLeader::grantOf(const Tenant& tenant, const QuotaRequest& request,
                                               std::uint32_t units, TimePoint now) {
-    if (knowsTurns(question)) {
-        return pacedByRank(tenant, question, units, now);
+    if (usesRanks(request)) {
+        return pacedByRank(tenant, request, units, now);
     }
     return {paced(tenant, units, now), {}, {}};
 }
 
-/** @param units what ledger and allowance leave. */
-ShardLeader::RankedGrant ShardLeader::pacedByRank(const Tenant& tenant,
-                                                  const QuotaQuestion& question,
+/** @param units most units to grant, by ledger and allowance. */
+ShardLeader::RankedGrant ShardLeader::pacedByRank(const Tenant& tenant, const QuotaRequest& request,
                                                   std::uint32_t units, TimePoint now) {
     UnitPacer& pacer = _pacers[tenant.name];
     UnitTurns& turns = _turns[tenant.name];
@@ -158,12 +162,13 @@
     RankedGrant granted;
     granted.byRank.resize(settings::kAdmissionRanks);
     PacedUnits paced = pacer.paced();
-    // After a loss of the leader the bound leaves less than the bucket: the same order holds then.
+    // After a change of leader, the bound may leave fewer units than the token bucket. The order of
+    // ranks applies to these units in the same way.
     const std::uint32_t left = std::min(freeUnits(tenant, now), _allowances.left(tenant.name));
     paced.tokens = std::min<double>(paced.tokens, left);
-    for (const RankedWish& asked : wishesOf(question)) {
+    for (const RankedWish& asked : wishesOf(request)) {
         const std::uint32_t inTurn = turns.claim(asked.rank, asked.inTurn, now);
-        // Who has no turn here, as with a new leader, is a new one.
+        // Units whose reservation is unknown here, as with a new leader, count as new requests.
         const std::uint32_t fresh = asked.fresh + asked.inTurn - inTurn;
         const RankedWish wish{asked.rank, fresh, inTurn, asked.nowOnly};
         turns.noteAsked(wish.rank, wish.fresh + wish.nowOnly, now);
@@ -176,27 +181,28 @@
         statistics.turnsByRank[wish.rank] += wish.inTurn;
         statistics.turnsKeptByRank[wish.rank] += std::min(taken, wish.inTurn);
         if (taken < wish.units()) {
-            granted.putOff.push_back(wish.without(taken));
+            granted.deferred.push_back(wish.without(taken));
         }
     }
     return granted;
 }
 
-/** @return after which time the bound leaves so many units. */
+/** @return the time after which the bound leaves the given number of units. */
 Duration ShardLeader::untilFree(const Tenant& tenant, std::uint32_t units, TimePoint now) {
     const std::uint32_t free = freeUnits(tenant, now);
     return units > free ? ledgerOf(tenant.name).untilFreed(units - free, now) : Duration(0);
 }
 
 /**
- * What is put off gets a turn behind those of its rank and of more urgent ones, unless it lies so
- * far away that nobody waits for it.
- * @return the time of the most urgent one.
+ * Reserves a later time slot for deferred units, behind those of the same rank and of more urgent
+ * ones. No slot is reserved when it would lie beyond the longest time for which a request of the
+ * rank waits.
+ * @return the time until the most urgent deferred units can be granted.
  */
-Duration ShardLeader::putOff(const Tenant& tenant, const RankedGrant& granted, TimePoint now) {
+Duration ShardLeader::defer(const Tenant& tenant, const RankedGrant& granted, TimePoint now) {
     UnitTurns& turns = _turns[tenant.name];
     std::optional<Duration> first;
-    for (const RankedWish& wish : granted.putOff) {
+    for (const RankedWish& wish : granted.deferred) {
         const std::uint32_t before = turns.promisedUpTo(wish.rank, now);
         const Duration paced = turns.untilGranted(wish, _pacers[tenant.name].paced(), now);
         const Duration freed = untilFree(tenant, wish.units() + before, now);
@@ -206,96 +212,97 @@
         if (waiting > 0) {
             turns.promise(wish.rank, waiting, now + until);
         }
-        _context.statistics.putOffByRank[wish.rank] += waiting;
-        _context.statistics.turnedAwayByRank[wish.rank] += wish.units() - waiting;
+        _context.statistics.deferredByRank[wish.rank] += waiting;
+        _context.statistics.refusedByRank[wish.rank] += wish.units() - waiting;
         first = first.value_or(until);
     }
-    return std::min(first.value_or(Duration(0)), kLongestPutOff);
+    return std::min(first.value_or(Duration(0)), kLongestDeferral);
 }
 
-void ShardLeader::answer(HeldQuestion held, TimePoint now) {
-    const QuotaQuestion& question = held.question;
-    const Tenant* tenant = _context.tenants().find(question.tenant);
+void ShardLeader::answer(QueuedQuotaRequest queued, TimePoint now) {
+    const QuotaRequest& request = queued.request;
+    const Tenant* tenant = _context.tenants().find(request.tenant);
     if (tenant == nullptr) {
-        _held.decline(held, kRetryAfterDecline);
+        _queue.decline(queued, kRetryAfterDecline);
         return;
     }
-    const std::uint32_t allowed = grantable(*tenant, question.wanted, now);
+    const std::uint32_t allowed = grantable(*tenant, request.wanted, now);
     const bool isLimited = isLimitedByAllowance(*tenant, now);
-    if (allowed == 0 && question.wanted > 0 && isLimited && !hasOwnAllowance(tenant->name, now)) {
-        _held.hold(std::move(held));
+    if (allowed == 0 && request.wanted > 0 && isLimited && !hasOwnAllowance(tenant->name, now)) {
+        _queue.add(std::move(queued));
         return;
     }
-    const RankedGrant ranked = grantOf(*tenant, question, allowed, now);
+    const RankedGrant ranked = grantOf(*tenant, request, allowed, now);
     const std::uint32_t units = ranked.units;
-    const QuotaAnswer granted = grant(*tenant, question, ranked, now);
+    const QuotaResponse granted = grant(*tenant, request, ranked, now);
     ++_context.statistics.granted;
     if (units == 0 || _standbyState == StandbyState::None) {
-        held.reply(granted);
+        queued.reply(granted);
         return;
     }
     LedgerUpdate update;
-    update.batches.push_back({question.tenant, granted.batch, units, usableFor(question)});
+    update.batches.push_back({request.tenant, granted.batch, units, usableFor(request)});
     if (_standbyState == StandbyState::Copying) {
         sendUpdate(std::move(update), std::nullopt);
-        held.reply(granted);
+        queued.reply(granted);
     } else {
-        sendUpdate(std::move(update), UnacknowledgedGrant{std::move(held.reply), granted});
+        sendUpdate(std::move(update), UnacknowledgedGrant{std::move(queued.reply), granted});
     }
 }
 
-/** @return whether the tenant's bound leaves units, but the record's allowance does not. */
+/** @return whether the tenant's bound leaves units but the record's allowance does not. */
 bool ShardLeader::isLimitedByAllowance(const Tenant& tenant, TimePoint now) {
     return _allowances.left(tenant.name) == 0 && freeUnits(tenant, now) > 0;
 }
 
-QuotaAnswer ShardLeader::grant(const Tenant& tenant, const QuotaQuestion& question,
-                               const RankedGrant& granted, TimePoint now) {
+QuotaResponse ShardLeader::grant(const Tenant& tenant, const QuotaRequest& request,
+                                 const RankedGrant& granted, TimePoint now) {
     const std::uint32_t units = granted.units;
     QuotaLedger& ledger = ledgerOf(tenant.name);
-    QuotaAnswer answer;
-    answer.leader = _context.self.node;
-    answer.standby = _standbyState == StandbyState::InSync ? _standby.node : NodeName();
-    answer.granted = units;
-    answer.grantedByRank = granted.byRank;
+    QuotaResponse response;
+    response.leader = _context.self.node;
+    response.standby = _standbyState == StandbyState::InSync ? _standby.node : NodeName();
+    response.granted = units;
+    response.grantedByRank = granted.byRank;
     if (units > 0) {
-        answer.batch = {_term, ++_lastBatch};
-        ledger.add(answer.batch, units, now + usableFor(question));
+        response.batch = {_term, ++_lastBatch};
+        ledger.add(response.batch, units, now + usableFor(request));
         _allowances.take(tenant.name, units);
         _context.statistics.grantedAsDeputy += _role == ShardRole::Deputy ? units : 0;
         _pacers[tenant.name].take(units);
     }
-    answer.scarce = ledger.counted(now) > kScarceAbove * _context.terms.bound(tenant.quota);
-    const std::uint32_t missing = question.wanted - units;
-    // While the record is written for a new allowance, the rest may be had at once.
+    response.scarce = ledger.counted(now) > kScarceAbove * _context.terms.bound(tenant.quota);
+    const std::uint32_t missing = request.wanted - units;
+    // While the record is being written for a new allowance, the rest may be available at once, so
+    // no retry delay is set.
     if (missing > 0 && !isLimitedByAllowance(tenant, now)) {
-        if (!granted.putOff.empty()) {
-            answer.retryAfter = putOff(tenant, granted, now);
-            answer.scarce = true;
-            return answer;
+        if (!granted.deferred.empty()) {
+            response.retryAfter = defer(tenant, granted, now);
+            response.scarce = true;
+            return response;
         }
         const Duration paced = _pacers[tenant.name].untilAvailable(missing);
         const Duration freed = untilFree(tenant, missing, now);
-        answer.retryAfter = std::min(std::max(paced, freed), kLongestRetry);
+        response.retryAfter = std::min(std::max(paced, freed), kLongestRetry);
     } else if (missing > 0 && hasOwnAllowance(tenant.name, now)) {
-        answer.retryAfter = std::max(Duration(0), _nextAllowanceAt - now);
+        response.retryAfter = std::max(Duration(0), _nextAllowanceAt - now);
     }
-    return answer;
+    return response;
 }
 
-void ShardLeader::answerHeld(TimePoint now) {
-    for (HeldQuestion& held : _held.takeAll()) {
+void ShardLeader::answerQueued(TimePoint now) {
+    for (QueuedQuotaRequest& queued : _queue.takeAll()) {
         if (mayGrant(now)) {
-            answer(std::move(held), now);
+            answer(std::move(queued), now);
         } else {
-            _held.hold(std::move(held));
+            _queue.add(std::move(queued));
         }
     }
 }
 
 void ShardLeader::abandon() {
-    for (const HeldQuestion& held : _held.takeAll()) {
-        _held.decline(held, Duration(0));
+    for (const QueuedQuotaRequest& queued : _queue.takeAll()) {
+        _queue.decline(queued, Duration(0));
     }
     end();
 }
@@ -305,7 +312,7 @@
     _copy = 0;
     for (auto& [number, grant] : std::exchange(_unacknowledged, {})) {
         ++_context.statistics.declined;
-        grant.reply(declinedAnswer(kRetryAfterDecline));
+        grant.reply(declinedResponse(kRetryAfterDecline));
     }
     LogEvent("tenancy", LogLevel::Info, "quota.leadership_ended").field("shard", _context.shard);
 }
@@ -324,7 +331,7 @@
         update.released = true;
         sendUpdate(std::move(update), std::nullopt);
     } else if (!_calling && !isOutdated()) {
-        // Nobody else knows what counts, so the record says it.
+        // No other node has a copy of the counted units, so the record must list them.
         QuotaShardRecord released = _parts.record();
         released.writtenIn = released.version.era;
         released.leader = {};
@@ -332,7 +339,7 @@
         released.tenants = countedQuotas(_ledgers, now);
         ++released.renewals;
         _context.store.save(_context.shard, released, [](const SavedShard& /*saved*/) {
-            // Where it fails, the lease ends by itself.
+            // If the write fails, the lease expires by itself.
         });
     }
     end();
@@ -356,11 +363,11 @@
     if (_standbyState == StandbyState::None && mayHaveStandby && now >= _nextStandby) {
         chooseStandby(now);
     }
-    answerHeld(now);
+    answerQueued(now);
     if (wantsSave(now)) {
         save(now);
     }
-    _held.declineOverdue(now);
+    _queue.declineOverdue(now);
 }
 
 }  // namespace coralhoist::tenancy
--- a/tests/tenancy/QuotaLedgerTest.cpp
+++ b/tests/tenancy/QuotaLedgerTest.cpp
@@ -45,7 +45,7 @@
     UNSIGNED_LONGS_EQUAL(0, ledger.counted(start + milliseconds(5501)));
 }
 
-TEST(QuotaLedger, UnusedUnitsCountNoMoreOnceSettled) {
+TEST(QuotaLedger, UnusedUnitsStopCountingOnceSettled) {
     ledger.add(kFirst, 3, start + milliseconds(500));
     ledger.settle({kFirst, 1, milliseconds(100)}, start + milliseconds(600));
     UNSIGNED_LONGS_EQUAL(1, ledger.counted(start + milliseconds(600)));
@@ -72,7 +72,7 @@
     UNSIGNED_LONGS_EQUAL(0, ledger.counted(start + milliseconds(5001)));
 }
 
-TEST(QuotaLedger, TellsWhenUnitsWillBeFree) {
+TEST(QuotaLedger, ReportsWhenUnitsBecomeFree) {
     ledger.add(kFirst, 3, start);
     ledger.add(kSecond, 3, start + seconds(1));
     CHECK_TRUE(ledger.untilFreed(3, start) == seconds(5));
@@ -86,7 +86,7 @@
     static LedgerUpdate update(std::uint64_t number, bool whole, std::uint32_t units,
                                std::uint64_t sequence = 1) {
         LedgerUpdate result;
-        result.leaderLife = "n1/5";
+        result.leaderIncarnation = "n1/5";
         result.copy = number;
         result.sequence = sequence;
         result.whole = whole;
@@ -100,37 +100,37 @@
 };
 
 TEST(LedgerCopy, HoldsAllBatchesOfTheLeader) {
-    CHECK_TRUE(copy.take(update(1, true, 3), windowOf, start));
-    CHECK_TRUE(copy.take(update(1, false, 4, 2), windowOf, start));
+    CHECK_TRUE(copy.apply(update(1, true, 3), windowOf, start));
+    CHECK_TRUE(copy.apply(update(1, false, 4, 2), windowOf, start));
     UNSIGNED_LONGS_EQUAL(7, counted());
     CHECK_TRUE(copy.isOf("n1/5"));
 }
 
 TEST(LedgerCopy, AMessageOfAnOlderCopyChangesNothing) {
-    copy.take(update(2, true, 3), windowOf, start);
-    CHECK_FALSE(copy.take(update(1, true, 1), windowOf, start));
-    CHECK_FALSE(copy.take(update(1, false, 2, 2), windowOf, start));
+    copy.apply(update(2, true, 3), windowOf, start);
+    CHECK_FALSE(copy.apply(update(1, true, 1), windowOf, start));
+    CHECK_FALSE(copy.apply(update(1, false, 2, 2), windowOf, start));
     UNSIGNED_LONGS_EQUAL(3, counted());
 }
 
 TEST(LedgerCopy, AnUpdateAfterOneThatWasLostIsNotAcknowledged) {
-    copy.take(update(1, true, 3), windowOf, start);
-    CHECK_FALSE(copy.take(update(1, false, 5, 3), windowOf, start));
-    CHECK_TRUE(copy.take(update(1, false, 4, 2), windowOf, start));
-    CHECK_FALSE(copy.take(update(1, false, 4, 2), windowOf, start));
+    copy.apply(update(1, true, 3), windowOf, start);
+    CHECK_FALSE(copy.apply(update(1, false, 5, 3), windowOf, start));
+    CHECK_TRUE(copy.apply(update(1, false, 4, 2), windowOf, start));
+    CHECK_FALSE(copy.apply(update(1, false, 4, 2), windowOf, start));
     UNSIGNED_LONGS_EQUAL(7, counted());
 }
 
-TEST(LedgerCopy, WithoutItsBeginningNothingIsACopy) {
-    CHECK_FALSE(copy.take(update(1, false, 3), windowOf, start));
+TEST(LedgerCopy, UpdatesWithoutTheWholeLedgerAreNotAcknowledged) {
+    CHECK_FALSE(copy.apply(update(1, false, 3), windowOf, start));
     CHECK_FALSE(copy.isOf("n1/5"));
 }
 
 TEST(LedgerCopy, NothingIsAcknowledgedOnceItIsSealed) {
-    copy.take(update(1, true, 3), windowOf, start);
+    copy.apply(update(1, true, 3), windowOf, start);
     copy.seal();
-    CHECK_FALSE(copy.take(update(1, false, 4, 2), windowOf, start));
-    CHECK_FALSE(copy.take(update(2, true, 4), windowOf, start));
+    CHECK_FALSE(copy.apply(update(1, false, 4, 2), windowOf, start));
+    CHECK_FALSE(copy.apply(update(2, true, 4), windowOf, start));
     UNSIGNED_LONGS_EQUAL(3, counted());
 }
 
@@ -138,8 +138,8 @@
     TimePoint start{std::chrono::hours(1)};
     QuotaLease lease;
 
-    static QuotaAnswer granted(const BatchId& batch, std::uint32_t units) {
-        QuotaAnswer answer;
+    static QuotaResponse granted(const BatchId& batch, std::uint32_t units) {
+        QuotaResponse answer;
         answer.batch = batch;
         answer.granted = units;
         return answer;
@@ -153,7 +153,7 @@
     UNSIGNED_LONGS_EQUAL(1, lease.takeUnused());
 }
 
-TEST(QuotaLease, UnitsThatComeTooLateAreSettledAsUnused) {
+TEST(QuotaLease, UnitsThatArriveTooLateAreSettledAsUnused) {
     lease.add(granted(kFirst, 2), start + milliseconds(500), start + milliseconds(700));
     CHECK_FALSE(lease.takeUnit(start + milliseconds(700)));
     const auto settled = lease.settlements(start + milliseconds(700));
@@ -161,7 +161,7 @@
     UNSIGNED_LONGS_EQUAL(0, settled[0].used);
 }
 
-TEST(QuotaLease, SettlesWhatEndedUntilTheLeaderHasBeenTold) {
+TEST(QuotaLease, SettlesEndedBatchesUntilTheLeaderHasAcknowledgedThem) {
     lease.add(granted(kFirst, 2), start + milliseconds(500), start);
     lease.add(granted(kSecond, 1), start + milliseconds(600), start);
     lease.takeUnit(start);
--- a/tests/tenancy/RecordPartsTest.cpp
+++ b/tests/tenancy/RecordPartsTest.cpp
@@ -20,7 +20,7 @@
 
 TEST_GROUP(RecordParts) {
     const TimePoint start{std::chrono::hours(1)};
-    const NodeLife deputy{NodeName("n3"), "n3/1"};
+    const NodeIncarnation deputy{NodeName("n3"), "n3/1"};
     RecordParts parts;
 
     QuotaShardRecord recordWithDeputy() const {
@@ -33,7 +33,7 @@
     }
 };
 
-TEST(RecordParts, OthersHaveWhatCountsByAgeAndWhatTheyAreAllowed) {
+TEST(RecordParts, OthersHaveTheirCountingUnitsByAgeAndTheirAllowances) {
     parts.onKnown(recordWithDeputy(), start);
     UNSIGNED_LONGS_EQUAL(24, parts.besidesLeader(kTenant, start).all());
     UNSIGNED_LONGS_EQUAL(70, parts.besidesDeputy(deputy, kTenant, start).all());
@@ -43,39 +43,40 @@
     UNSIGNED_LONGS_EQUAL(30, parts.besidesDeputy(deputy, kTenant, later).all());
 }
 
-TEST(RecordParts, APartIsLeftAsItIsWhileItsLeaseMayLast) {
+TEST(RecordParts, APartIsUnchangedWhileItsLeaseMayBeValid) {
     parts.onKnown(recordWithDeputy(), start);
-    const std::vector<DeputyPart> cleared = parts.cleared(kWindow, start + milliseconds(6599));
+    const std::vector<DeputyPart> cleared =
+        parts.partsForNextVersion(kWindow, start + milliseconds(6599));
     CHECK_TRUE(cleared == recordWithDeputy().deputies);
 }
 
-TEST(RecordParts, APartWhoseLeaseIsOverCountsWhatItAllowedForAsLongAsItMayRun) {
+TEST(RecordParts, AnExpiredPartCountsItsAllowanceForAsLongAsItsUnitsMayRun) {
     parts.onKnown(recordWithDeputy(), start);
     const TimePoint lapsed = start + milliseconds(6600);
     QuotaShardRecord record = recordWithDeputy();
-    record.deputies = parts.cleared(kWindow, lapsed);
+    record.deputies = parts.partsForNextVersion(kWindow, lapsed);
     record.version.revision = 8;
     CHECK_FALSE(record.deputies.at(0).grants);
     UNSIGNED_LONGS_EQUAL(0, record.deputies[0].tenants.at(kTenant).allowance);
     UNSIGNED_LONGS_EQUAL(20, sumOf(record.deputies[0].tenants.at(kTenant).counting));
-    // The newest unit may run for 2 s and counts for a window after.
+    // The newest unit may run for 2 s and counts for one more window.
     parts.onKnown(record, lapsed);
     const TimePoint end = lapsed + kLongestQuotaLease + kWindow;
     UNSIGNED_LONGS_EQUAL(20, parts.besidesLeader(kTenant, end).all());
-    LONGS_EQUAL(1, parts.cleared(kWindow, end).size());
-    LONGS_EQUAL(0, parts.cleared(kWindow, end + milliseconds(501)).size());
+    LONGS_EQUAL(1, parts.partsForNextVersion(kWindow, end).size());
+    LONGS_EQUAL(0, parts.partsForNextVersion(kWindow, end + milliseconds(501)).size());
 }
 
-TEST(RecordParts, ARenewalOfAPartBeginsItsLeaseAnew) {
+TEST(RecordParts, ARenewalOfAPartRestartsItsLease) {
     parts.onKnown(recordWithDeputy(), start);
     QuotaShardRecord renewed = recordWithDeputy();
     renewed.version.revision = 8;
     renewed.deputies[0].replacedVersion = 2;
     parts.onKnown(renewed, start + seconds(6));
-    CHECK_TRUE(parts.cleared(kWindow, start + seconds(12)) == renewed.deputies);
+    CHECK_TRUE(parts.partsForNextVersion(kWindow, start + seconds(12)) == renewed.deputies);
 }
 
-TEST(RecordParts, ADeputysWritingIsNoSignOfTheLeader) {
+TEST(RecordParts, ADeputysWriteDoesNotRenewTheLeadersLease) {
     parts.onKnown(recordWithDeputy(), start);
     QuotaShardRecord next = recordWithDeputy();
     next.version.revision = 8;
@@ -87,7 +88,7 @@
     CHECK_TRUE(parts.leaderSeenAt() == start + seconds(2));
 }
 
-TEST(RecordParts, ThreeDeputiesAtMost) {
+TEST(RecordParts, AcceptsThreeDeputiesAtMost) {
     QuotaShardRecord record = recordWithDeputy();
     record.deputies.push_back({{NodeName("n4"), "n4/1"}, true, 1, {}});
     parts.onKnown(record, start);
--- a/tests/tenancy/ShardFixture.h
+++ b/tests/tenancy/ShardFixture.h
@@ -1,4 +1,5 @@
-/** A shard of tenants on one node, whose store and links a test plays by hand. */
+/** Fixture for a shard of tenants on one node, whose store and connections are controlled by the
+ * test. */
 #pragma once
 
 #include <CppUTest/TestHarness.h>
@@ -19,8 +20,8 @@
 inline const TenantName kShardTenant{"t"};
 inline const TenantQuota kShardQuota{25, 25};
 
-/** A store that answers when the test lets it. */
-class HeldStore final : public QuotaShardStore {
+/** Store that completes its calls when the test says so. */
+class ManualShardStore final : public QuotaShardStore {
 public:
     void load(std::uint32_t /*shard*/, std::function<void(const LoadedShard&)> callback) override {
         loads.push_back(std::move(callback));
@@ -30,13 +31,13 @@
         saved.push_back(record);
         saves.push_back(std::move(callback));
     }
-    void finishLoad(const LoadedShard& answer) {
+    void finishLoad(const LoadedShard& response) {
         const auto callback = std::exchange(loads, {}).back();
-        callback(answer);
+        callback(response);
     }
-    void finishSave(const SavedShard& answer) {
+    void finishSave(const SavedShard& response) {
         const auto callback = std::exchange(saves, {}).back();
-        callback(answer);
+        callback(response);
     }
 
     std::vector<std::function<void(const LoadedShard&)>> loads;
@@ -44,13 +45,13 @@
     std::vector<QuotaShardRecord> saved;
 };
 
-/** Remembers what is sent to other nodes. */
-class SentQuestions final : public QuotaQuestions {
+/** Records the messages to other nodes. */
+class RecordingRequestSender final : public QuotaRequestSender {
 public:
     bool canReach(const NodeName& /*node*/) const override { return reachable; }
-    void askForQuota(const NodeName& /*node*/, std::uint64_t number,
-                     const QuotaQuestion& asked) override {
-        questions.push_back(asked);
+    void sendQuotaRequest(const NodeName& /*node*/, std::uint64_t number,
+                          const QuotaRequest& request) override {
+        requests.push_back(request);
         lastNumber = number;
     }
     void updateLedger(const NodeName& /*node*/, std::uint64_t number,
@@ -60,17 +61,17 @@
     }
 
     bool reachable = true;
-    std::vector<QuotaQuestion> questions;
+    std::vector<QuotaRequest> requests;
     std::vector<LedgerUpdate> updates;
     std::uint64_t lastNumber = 0;
 };
 
-/** One shard of the tenant "t" on the node "n1", whose store and links the test plays. */
+/** The shard of tenant "t" on node "n1", whose store and connections are controlled by the test. */
 class ShardFixture : public Utest {
 public:
     testing::ManualClock clock;
-    HeldStore store;
-    SentQuestions sent;
+    ManualShardStore store;
+    RecordingRequestSender sent;
     QuotaCalls calls{sent};
     StoreEra era{clock};
     QuotaStatistics statistics;
@@ -78,7 +79,7 @@
     TenantDirectory tenants{1, {{kShardTenant, kShardQuota, {}}}, {}};
     std::vector<pooling::ProxyNode> peers;
     std::unique_ptr<QuotaShard> shard;
-    std::vector<QuotaAnswer> answers;
+    std::vector<QuotaResponse> responses;
 
     void setup() override {
         shard = std::make_unique<QuotaShard>(
@@ -98,12 +99,13 @@
     }
 
     void ask(std::uint32_t units, bool leaderSilent = false) {
-        QuotaQuestion question;
-        question.tenant = kShardTenant;
-        question.wanted = units;
-        question.usableFor = std::chrono::milliseconds(500);
-        question.leaderSilent = leaderSilent;
-        shard->ask(question, [this](const QuotaAnswer& answer) { answers.push_back(answer); });
+        QuotaRequest request;
+        request.tenant = kShardTenant;
+        request.wanted = units;
+        request.usableFor = std::chrono::milliseconds(500);
+        request.leaderSilent = leaderSilent;
+        shard->ask(request,
+                   [this](const QuotaResponse& response) { responses.push_back(response); });
     }
 
     static LoadedShard loadedRecord(const char* leader, const char* standby,
@@ -119,7 +121,7 @@
         return loaded;
     }
 
-    /** A record in which no more deputies find room, so that each writing is a claim. */
+    /** A record without room for another deputy, so that each write is a claim. */
     static LoadedShard crowdedRecord(const char* leader, std::uint64_t version) {
         LoadedShard loaded = loadedRecord(leader, "", version);
         for (const char* name : {"n7", "n8", "n9"}) {
--- a/tests/tenancy/ShardLeaderTest.cpp
+++ b/tests/tenancy/ShardLeaderTest.cpp
@@ -18,7 +18,7 @@
 
 TEST_GROUP(RecordAllowances){};
 
-TEST(RecordAllowances, AGrantIsTakenFromEachVersionThatMayBeTheNewest) {
+TEST(RecordAllowances, AGrantIsDeductedFromEachVersionThatMayBeTheNewest) {
     RecordAllowances allowances(recordAllowing(10));
     allowances.take(kTenant, 4);
     allowances.onSaving(recordAllowing(3));
@@ -32,7 +32,7 @@
     UNSIGNED_LONGS_EQUAL(1, allowances.left(kTenant));
 }
 
-TEST(RecordAllowances, AVersionThatIsInForceReplacesAllOthers) {
+TEST(RecordAllowances, AVersionInForceReplacesAllOthers) {
     RecordAllowances allowances(recordAllowing(10));
     allowances.onSaving(recordAllowing(3));
     allowances.onSaved(StoreOutcome::Unknown);
@@ -42,7 +42,7 @@
     UNSIGNED_LONGS_EQUAL(49, allowances.left(kTenant));
 }
 
-TEST(RecordAllowances, AWritingThatWasNotDoneChangesNothing) {
+TEST(RecordAllowances, AFailedWriteChangesNoAllowance) {
     RecordAllowances allowances(recordAllowing(10));
     allowances.onSaving(recordAllowing(3));
     allowances.onSaved(StoreOutcome::Conflict);
@@ -51,43 +51,43 @@
 
 TEST_GROUP_BASE(QuotaShard, ShardFixture){};
 
-TEST(QuotaShard, LeadsOnlyOnceTheRecordSaysSo) {
+TEST(QuotaShard, LeadsOnlyOnceTheRecordNamesIt) {
     ask(1);
-    CHECK_TRUE(answers.empty());
+    CHECK_TRUE(responses.empty());
     LoadedShard none;
     none.outcome = StoreOutcome::Done;
     store.finishLoad(none);
-    CHECK_TRUE(answers.empty());
+    CHECK_TRUE(responses.empty());
     store.finishSave({StoreOutcome::Done, {0, 11}});
-    LONGS_EQUAL(1, answers.size());
-    UNSIGNED_LONGS_EQUAL(1, answers[0].granted);
+    LONGS_EQUAL(1, responses.size());
+    UNSIGNED_LONGS_EQUAL(1, responses[0].granted);
 }
 
-TEST(QuotaShard, TheLeaseCountsFromWhenTheWritingWasSent) {
+TEST(QuotaShard, TheLeaseBeginsWhenTheWriteIsSent) {
     ask(1);
     LoadedShard none;
     none.outcome = StoreOutcome::Done;
     store.finishLoad(none);
     clock.advance(milliseconds(600));
     store.finishSave({StoreOutcome::Done, {0, 11}});
-    // The renewal is not answered: the lease of 6 s began 0.6 s before the first answer.
+    // The renewal gets no response. The lease of 6 s began 0.6 s before the first response.
     clock.advance(milliseconds(5399));
     ask(1);
-    LONGS_EQUAL(2, answers.size());
-    UNSIGNED_LONGS_EQUAL(1, answers[1].granted);
+    LONGS_EQUAL(2, responses.size());
+    UNSIGNED_LONGS_EQUAL(1, responses[1].granted);
     clock.advance(milliseconds(1));
     ask(1);
-    LONGS_EQUAL(2, answers.size());
+    LONGS_EQUAL(2, responses.size());
     clock.advance(milliseconds(250));
     shard->onTick(clock.now());
-    CHECK_TRUE(answers.back().declined);
+    CHECK_TRUE(responses.back().declined);
 }
 
 TEST(QuotaShard, AnotherNodesShardIsNotTakenBeforeItsLeaseHasEnded) {
     sent.reachable = false;
     ask(1);
     store.finishLoad(crowdedRecord("n2/1", 7));
-    CHECK_TRUE(answers.back().declined);
+    CHECK_TRUE(responses.back().declined);
     clock.advance(milliseconds(6599));
     ask(1);
     store.finishLoad(crowdedRecord("n2/1", 7));
@@ -98,7 +98,7 @@
     LONGS_EQUAL(1, store.saves.size());
 }
 
-TEST(QuotaShard, ARenewalInBetweenBeginsTheWaitAnew) {
+TEST(QuotaShard, ARenewalRestartsTheWaitForTheLeaseToExpire) {
     sent.reachable = false;
     ask(1);
     store.finishLoad(crowdedRecord("n2/1", 7));
@@ -115,11 +115,11 @@
     ask(1);
     store.finishLoad(loadedRecord("n1/0", "", 7));
     store.finishSave({StoreOutcome::Done, {0, 8}});
-    // 185 allowed; 40 counted for a second at most, 30 were allowed besides.
-    std::uint32_t granted = answers.back().granted;
-    while (answers.back().granted > 0) {
+    // Of a bound of 185, 40 units count for a second at most, and 30 more were allowed.
+    std::uint32_t granted = responses.back().granted;
+    while (responses.back().granted > 0) {
         ask(100);
-        granted += answers.back().granted;
+        granted += responses.back().granted;
         clock.advance(milliseconds(200));
         if (clock.now() - TimePoint(std::chrono::hours(1)) > milliseconds(900)) {
             break;
@@ -131,43 +131,43 @@
 TEST(QuotaShard, AGrantIsAnsweredOnceTheStandbyHasIt) {
     peers.push_back({NodeName("n2"), ZoneName("z"), "h", 1});
     lead();
-    // The first grant was answered while the copy is on its way, so it must arrive before the
-    // naming.
+    // The first grant was confirmed while the copy was still being sent, so it must arrive before
+    // the record names the standby.
     LONGS_EQUAL(2, sent.updates.size());
     CHECK_TRUE(sent.updates[0].whole);
     LONGS_EQUAL(1, store.saved.size());
     calls.onAck(sent.lastNumber - 1, LedgerAck{true, "n2/1"});
     LONGS_EQUAL(1, store.saved.size());
     calls.onAck(sent.lastNumber, LedgerAck{true, "n2/1"});
-    CHECK_TRUE(store.saved.back().standby == (NodeLife{NodeName("n2"), "n2/1"}));
-    const std::size_t before = answers.size();
+    CHECK_TRUE(store.saved.back().standby == (NodeIncarnation{NodeName("n2"), "n2/1"}));
+    const std::size_t before = responses.size();
     ask(1);
-    LONGS_EQUAL(before, answers.size());
+    LONGS_EQUAL(before, responses.size());
     LONGS_EQUAL(3, sent.updates.size());
     calls.onAck(sent.lastNumber, LedgerAck{true, "n2/1"});
-    LONGS_EQUAL(before + 1, answers.size());
+    LONGS_EQUAL(before + 1, responses.size());
 }
 
-TEST(QuotaShard, WithoutItsStandbyALeaderGrantsNothingBeforeTheRecordNamesItNoMore) {
+TEST(QuotaShard, ALeaderThatLosesItsStandbyGrantsNothingUntilTheRecordNoLongerNamesTheStandby) {
     peers.push_back({NodeName("n2"), ZoneName("z"), "h", 1});
     lead();
     calls.onAck(sent.lastNumber, LedgerAck{true, "n2/1"});
     store.finishSave({StoreOutcome::Done, {0, 12}});
-    const std::size_t before = answers.size();
+    const std::size_t before = responses.size();
     ask(1);
     calls.onAck(sent.lastNumber, std::nullopt);
     ask(1);
-    LONGS_EQUAL(before, answers.size());
+    LONGS_EQUAL(before, responses.size());
     CHECK_FALSE(store.saved.back().standby.exists());
     peers.clear();
     store.finishSave({StoreOutcome::Done, {0, 13}});
-    LONGS_EQUAL(before + 2, answers.size());
+    LONGS_EQUAL(before + 2, responses.size());
 }
 
 TEST(QuotaShard, AStandbyLeadsAtOnceWhenNobodyHearsFromTheLeader) {
     LedgerUpdate update;
     update.shard = quotaShardOf(kTenant);
-    update.leaderLife = "n2/1";
+    update.leaderIncarnation = "n2/1";
     update.copy = 1;
     update.sequence = 1;
     update.whole = true;
@@ -177,28 +177,28 @@
     ask(1, true);
     store.finishLoad(loadedRecord("n2/1", "n1/1", 7));
     LONGS_EQUAL(1, store.saves.size());
-    // From here on it acknowledges nothing more.
+    // From now on the standby acknowledges no updates.
     update.whole = false;
     update.sequence = 2;
     CHECK_FALSE(shard->takeUpdate(update).accepted);
     store.finishSave({StoreOutcome::Done, {0, 8}});
-    UNSIGNED_LONGS_EQUAL(1, answers.back().granted);
+    UNSIGNED_LONGS_EQUAL(1, responses.back().granted);
     UNSIGNED_LONGS_EQUAL(1, statistics.ledWithCopy);
 }
 
-TEST(QuotaShard, HandsAQuestionOnToTheLeader) {
+TEST(QuotaShard, ForwardsARequestToTheLeader) {
     ask(3);
     store.finishLoad(loadedRecord("n2/1", "", 7));
-    LONGS_EQUAL(1, sent.questions.size());
-    UNSIGNED_LONGS_EQUAL(1, sent.questions[0].hops);
-    QuotaAnswer answer;
-    answer.granted = 3;
-    answer.leader = NodeName("n2");
-    calls.onAnswer(sent.lastNumber, answer);
-    CHECK_TRUE(answers.back() == answer);
+    LONGS_EQUAL(1, sent.requests.size());
+    UNSIGNED_LONGS_EQUAL(1, sent.requests[0].hops);
+    QuotaResponse response;
+    response.granted = 3;
+    response.leader = NodeName("n2");
+    calls.onAnswer(sent.lastNumber, response);
+    CHECK_TRUE(responses.back() == response);
 }
 
-TEST(QuotaShard, AfterAPlannedStopTheRecordSaysWhatCounts) {
+TEST(QuotaShard, APlannedShutdownWritesTheCountedUnitsToTheRecord) {
     lead();
     shard->release();
     const QuotaShardRecord& released = store.saved.back();
@@ -210,16 +210,16 @@
     }
     UNSIGNED_LONGS_EQUAL(1, counting);
     ask(1);
-    CHECK_TRUE(answers.size() == 1 || answers.back().declined);
+    CHECK_TRUE(responses.size() == 1 || responses.back().declined);
 }
 
-/** @return units that the deputy's part allows, the only one of the record. */
+/** @return units that the part of the record's only deputy allows. */
 std::uint32_t allowedToDeputy(const QuotaShardRecord& record) {
     return record.deputies.at(0).tenants.at(kTenant).allowance;
 }
 
 TEST_GROUP_BASE(QuotaShardDeputy, ShardFixture){
-    /** This node is cut off and has written its part, which is not answered yet. */
+    /** Cuts this node off and makes it write its part; the write has not completed yet. */
     void askToBeDeputy(){sent.reachable = false;
 ask(1);
 store.finishLoad(loadedRecord("n2/1", "n3/1", 7));
@@ -227,11 +227,11 @@
 shard->onTick(clock.now());
 }  // namespace
 
-/** @return units granted of many questions. */
+/** @return total units granted in response to many requests. */
 std::uint32_t granted() const {
     std::uint32_t units = 0;
-    for (const QuotaAnswer& answer : answers) {
-        units += answer.granted;
+    for (const QuotaResponse& response : responses) {
+        units += response.granted;
     }
     return units;
 }
@@ -242,9 +242,9 @@
     LONGS_EQUAL(1, store.saved.size());
     const QuotaShardRecord& written = store.saved[0];
     UNSIGNED_LONGS_EQUAL(7, written.version.revision);
-    CHECK_TRUE(written.leader == (NodeLife{NodeName("n2"), "n2/1"}));
+    CHECK_TRUE(written.leader == (NodeIncarnation{NodeName("n2"), "n2/1"}));
     CHECK_TRUE(written.tenants == loadedRecord("n2/1", "n3/1", 7).record.tenants);
-    // No later writing of this life is taken for this one.
+    // No later write of this incarnation can be mistaken for this one.
     UNSIGNED_LONGS_EQUAL(7, written.deputies.at(0).replacedVersion);
     // A quarter of the bound beside a leader that has 40 + 30 units of 185.
     UNSIGNED_LONGS_EQUAL(46, allowedToDeputy(written));
@@ -254,15 +254,16 @@
     UNSIGNED_LONGS_EQUAL(1, statistics.grantedAsDeputy);
 }
 
-/** A claim whose answer was lost is found done by reading. When a deputy has written its part on
- * top by then, the version that is read names the deputy's batches: settled ones must not shrink
- * those of the leader. */
+/** A claim whose response was lost is discovered by reading the record. If a deputy has written its
+ * part in between, the token of the version that is read identifies the deputy's batches.
+ * Settlements of those must not shrink the leader's batches. */
 TEST(QuotaShard, AClaimThatIsFoundDoneUnderADeputysWritingHasATermOfItsOwn) {
     ask(1);
     LoadedShard none;
     none.outcome = StoreOutcome::Done;
     store.finishLoad(none);
-    // Done as version 11, but not answered; then a deputy writes its part, as version 12.
+    // The claim is applied as version 11, but its response is lost. Then a deputy writes its part
+    // as version 12.
     store.finishSave({StoreOutcome::Unknown, {}});
     LoadedShard loaded;
     loaded.outcome = StoreOutcome::Done;
@@ -273,33 +274,34 @@
     store.finishSave({StoreOutcome::Done, {0, 13}});
     clock.advance(milliseconds(1500));
     for (std::uint64_t number = 1; number <= 40; ++number) {
-        QuotaQuestion question;
-        question.tenant = kTenant;
-        question.wanted = 20;
-        question.usableFor = milliseconds(500);
-        question.settled.push_back({{12, number}, 0, milliseconds(0)});
-        shard->ask(question, [this](const QuotaAnswer& answer) { answers.push_back(answer); });
+        QuotaRequest request;
+        request.tenant = kTenant;
+        request.wanted = 20;
+        request.usableFor = milliseconds(500);
+        request.settled.push_back({{12, number}, 0, milliseconds(0)});
+        shard->ask(request,
+                   [this](const QuotaResponse& response) { responses.push_back(response); });
         clock.advance(milliseconds(100));
         if (!store.saves.empty()) {
             store.finishSave({StoreOutcome::Done, {0, 13 + number}});
         }
     }
     std::uint32_t granted = 0;
-    for (const QuotaAnswer& answer : answers) {
-        granted += answer.granted;
-        CHECK_TRUE(answer.batch.term != 12);
+    for (const QuotaResponse& response : responses) {
+        granted += response.granted;
+        CHECK_TRUE(response.batch.term != 12);
     }
     CHECK_TRUE(granted > 0);
     CHECK_TRUE(granted + 46 <= 185);
 }
 
-TEST(QuotaShard, AClaimThatWasNotDoneDoesNotKeepTheNodeFromBeingADeputy) {
+TEST(QuotaShard, AFailedClaimDoesNotKeepTheNodeFromBecomingADeputy) {
     ask(1);
     LoadedShard none;
     none.outcome = StoreOutcome::Done;
     store.finishLoad(none);
     store.finishSave({StoreOutcome::Unknown, {}});
-    // Another node's claim was done: this one's can be no more.
+    // Another node's claim was applied, so this node's claim can't be applied any more.
     sent.reachable = false;
     store.finishLoad(loadedRecord("n2/1", "n3/1", 7));
     for (int times = 0; times < 20; ++times) {
@@ -313,14 +315,14 @@
     LONGS_EQUAL(2, store.saved.size());
 }
 
-/** @return a record that another deputy has joined meanwhile. */
+/** @return a record that another deputy has joined in the meantime. */
 LoadedShard recordWithDeputy() {
     LoadedShard loaded = ShardFixture::loadedRecord("n2/1", "n3/1", 8);
     loaded.record.deputies.push_back({{NodeName("n4"), "n4/1"}, true, 7, recordAllowing(46)});
     return loaded;
 }
 
-TEST(QuotaShardDeputy, LeavesItToAnotherInReachThatHasComeFirst) {
+TEST(QuotaShardDeputy, DoesNotJoinBesideAReachableDeputyThatCameFirst) {
     askToBeDeputy();
     sent.reachable = true;
     store.finishSave({StoreOutcome::Conflict, {}});
@@ -328,15 +330,15 @@
     LONGS_EQUAL(1, store.saved.size());
 }
 
-TEST(QuotaShardDeputy, JoinsAnotherThatIsOutOfReach) {
+TEST(QuotaShardDeputy, JoinsBesideAnUnreachableDeputy) {
     askToBeDeputy();
     store.finishSave({StoreOutcome::Conflict, {}});
     store.finishLoad(recordWithDeputy());
     LONGS_EQUAL(2, store.saved.size());
 }
 
-/** A part that was written before the tenant asked is written anew at once. */
-TEST(QuotaShardDeputy, ATenantsFirstAllowanceWaitsForNoPause) {
+/** A part that was written before the tenant's first request is rewritten at once. */
+TEST(QuotaShardDeputy, ATenantsFirstAllowanceIsWrittenWithoutDelay) {
     sent.reachable = false;
     ask(0);
     store.finishLoad(loadedRecord("n2/1", "n3/1", 7));
@@ -347,7 +349,7 @@
     LONGS_EQUAL(2, store.saved.size());
 }
 
-TEST(QuotaShardDeputy, MayNotHaveWhatTheLeaderHas) {
+TEST(QuotaShardDeputy, MayNotGrantUnitsOfTheLeadersPart) {
     sent.reachable = false;
     ask(1);
     LoadedShard full = loadedRecord("n2/1", "n3/1", 7);
@@ -358,7 +360,7 @@
     UNSIGNED_LONGS_EQUAL(5, allowedToDeputy(store.saved.at(0)));
 }
 
-TEST(QuotaShardDeputy, GrantsNothingAfterItsLease) {
+TEST(QuotaShardDeputy, GrantsNothingAfterItsLeaseHasExpired) {
     askToBeDeputy();
     store.finishSave({StoreOutcome::Done, {0, 8}});
     UNSIGNED_LONGS_EQUAL(1, granted());
@@ -380,14 +382,14 @@
     UNSIGNED_LONGS_EQUAL(46, granted());
 }
 
-TEST(QuotaShardDeputy, WritesThatItGrantsNoMoreOnceTheLeaderAnswers) {
+TEST(QuotaShardDeputy, RecordsItsWithdrawalOnceTheLeaderResponds) {
     askToBeDeputy();
     store.finishSave({StoreOutcome::Done, {0, 8}});
     sent.reachable = true;
     clock.advance(milliseconds(250));
     ask(1);
     UNSIGNED_LONGS_EQUAL(2, granted());
-    QuotaAnswer there;
+    QuotaResponse there;
     there.leader = NodeName("n2");
     calls.onAnswer(sent.lastNumber, there);
     const DeputyPart& part = store.saved.back().deputies.at(0);
@@ -398,12 +400,12 @@
         counting += units;
     }
     UNSIGNED_LONGS_EQUAL(2, counting);
-    const std::size_t before = sent.questions.size();
+    const std::size_t before = sent.requests.size();
     ask(1);
-    LONGS_EQUAL(before + 1, sent.questions.size());
+    LONGS_EQUAL(before + 1, sent.requests.size());
 }
 
-TEST(QuotaShardDeputy, ItsPartStaysWhereAClaimIsFoundDoneByReading) {
+TEST(QuotaShardDeputy, ItsPartIsKeptWhenAClaimIsDiscoveredByReading) {
     ask(1);
     LoadedShard former = loadedRecord("n1/0", "", 7);
     former.record.deputies.push_back({{NodeName("n5"), "n5/1"}, true, 1, {{kTenant, {{}, 100}}}});
@@ -417,7 +419,7 @@
     store.finishLoad(done);
     store.finishSave({StoreOutcome::Done, {0, 9}});
     CHECK_TRUE(store.saved.back().deputies == former.record.deputies);
-    // 40 + 30 of the former life and 100 of the deputy leave 15 of 185.
+    // 40 + 30 units of the previous incarnation and 100 of the deputy leave 15 of 185.
     CHECK_TRUE(store.saved.back().tenants.at(kTenant).allowance <= 15);
 }
 
