--- a/src/tenancy/CredentialDigest.h
+++ b/src/tenancy/CredentialDigest.h
@@ -1,4 +1,4 @@
-/** What is kept of a caller's credential. */
+/** Digest that represents a client's credential. */
 #pragma once
 
 #include <QByteArray>
@@ -7,8 +7,8 @@
 namespace coralhoist::tenancy {
 
 /**
- * SHA-256 of a credential. Credentials themselves are neither kept nor logged nor sent on; digests
- * may be compared in any order of their bytes, since that tells nothing about a credential.
+ * SHA-256 digest of a credential. Credentials themselves are never stored, logged or forwarded.
+ * Digests may be compared bytewise, because their order reveals nothing about the credential.
  */
 class CredentialDigest {
 public:
--- a/src/tenancy/QuotaCalls.h
+++ b/src/tenancy/QuotaCalls.h
@@ -1,4 +1,4 @@
-/** Questions to other nodes with callbacks in place of numbers. */
+/** Remote quota calls to other nodes, with a callback per request instead of a request number. */
 #pragma once
 
 #include <cstdint>
@@ -10,13 +10,15 @@
 
 namespace coralhoist::tenancy {
 
-/** Each callback is called once, later; without an answer when the link is lost. */
+/**
+ * Each callback is called once and asynchronously; it gets no response if the connection is lost.
+ */
 class QuotaCalls {
 public:
     using AnswerCallback = std::function<void(const std::optional<QuotaAnswer>&)>;
     using AckCallback = std::function<void(const std::optional<LedgerAck>&)>;
 
-    /** @param questions outlives the calls. */
+    /** @param questions must outlive this object. */
     explicit QuotaCalls(QuotaQuestions& questions) : _questions(questions) {}
 
     bool canReach(const NodeName& node) const { return _questions.canReach(node); }
--- a/src/tenancy/QuotaExchange.cpp
+++ b/src/tenancy/QuotaExchange.cpp
@@ -13,33 +13,52 @@
 
 using std::chrono::milliseconds;
 
-/** Part of the time for which units are usable that is asked ahead: more would end unused. */
+/**
+ * Fraction of the units' usable time for which units are requested in advance. With a larger
+ * fraction, more units would expire unused.
+ */
 constexpr double kAskedAhead = 0.6;
-/** Units stay usable so many times longer than the newest answer took, besides the usual time. */
+/**
+ * In addition to the usual lease time, units stay usable for this multiple of the time that the
+ * latest response took.
+ */
 constexpr int kAnswerTimes = 2;
-/** A statement waits this long at most for an answer to the question that was sent for it or
- * before it. An answer from a loaded machine is slow, and comes twice as late since the standby
- * answers the leader first. */
+/**
+ * A statement waits at most this long for the response to the request that was sent for it or
+ * before it. Responses from a loaded machine are slow, and take twice as long because the standby
+ * answers the leader first.
+ */
 constexpr Duration kAnswerPatience = milliseconds(700);
-/** Statements that come so long after the newest question wait anew for an answer. */
+/**
+ * After this time since the latest request, the timeout for a response starts anew for new
+ * statements.
+ */
 constexpr Duration kSilenceForgotten = std::chrono::seconds(1);
-/** A node that declined is not asked again before: it has just started, is leaving, or can't reach
- * the store. Another one may. */
+/**
+ * A node that declined is not asked again before this time has passed: it has just started, is
+ * shutting down, or can't reach the store. Another node may be able to answer.
+ */
 constexpr Duration kUnhelpfulFor = milliseconds(500);
-/** Where ranks matter, the leader is asked again after this time, however far away a unit was:
- * nodes settle their batches early, and more urgent demand may end. */
+/**
+ * If services have different ranks, the leader is asked again after this time, however late a unit
+ * was announced: nodes may settle their batches early, and more urgent demand may end.
+ */
 constexpr Duration kAskAgainAfter = milliseconds(100);
-/** A leader that has not answered for so long may be out of reach. Answers take less, but of nodes
- * under load: a probe too many costs a message. */
+/**
+ * A leader that has not answered for this long is suspected of being unreachable. Responses take
+ * less time, except from nodes under load; a superfluous probe costs only a message.
+ */
 constexpr Duration kSuspectAfter = milliseconds(50);
-/** Nothing is probed more often for a shard: in a flood many answers are late. */
+/** Minimum interval between probes for a shard, because many responses are late under overload. */
 constexpr Duration kProbeEvery = std::chrono::seconds(2);
-/** So many of the first nodes in the shard's order are probed besides the standby: enough that one
- * of them is probably on this side of a cut. */
+/**
+ * Number of first nodes in the shard's order that are probed in addition to the standby: enough
+ * that at least one of them is probably on this side of a network partition.
+ */
 constexpr std::size_t kProbedNodes = 4;
-/** A unit that `look` has found is taken within this time; else the process stood still. */
+/** A unit that `look` has found is taken within this time, unless the process was suspended. */
 constexpr Duration kTakenWithin = milliseconds(20);
-/** When a caller should come back while no leader answers. */
+/** Delay after which a caller should retry while no leader answers. */
 constexpr Duration kRetryWithoutAnswer = milliseconds(300);
 
 }  // namespace
@@ -68,7 +87,7 @@
                   [this](const auto& entry) { return _tenants->find(entry.first) == nullptr; });
 }
 
-/** @return all nodes in the order that all nodes agree on. */
+/** @return all nodes, in the order for the shard that all nodes compute identically. */
 const std::vector<pooling::ProxyNode>& QuotaExchange::orderOf(std::uint32_t shard) {
     const auto [entry, added] = _orders.try_emplace(shard);
     if (added) {
@@ -117,7 +136,7 @@
         ranked.unansweredSince = now;
     }
     ranked.lastAskedAt = now;
-    // Turns that nobody waits for any more are given up.
+    // Drops turns whose time has passed: no statement waits for them any more.
     ranked.turns.erase(ranked.turns.begin(), ranked.turns.upper_bound(now));
     QuotaQuestion question;
     question.tenant = tenant;
@@ -145,8 +164,8 @@
 }
 
 /**
- * @return the leader that answered last, else the first node in the shard's order, which finds the
- * leader; nothing when that is this node.
+ * @return the leader that last answered; otherwise its standby or the first usable node in the
+ * shard's order, which finds the leader; nothing if that node is this one.
  */
 std::optional<NodeName> QuotaExchange::remoteTarget(std::uint32_t shard, TimePoint now) {
     std::erase_if(_unhelpful,
@@ -172,7 +191,7 @@
     return node != _dependencies.self.node && _calls.canReach(node) && !_unhelpful.contains(node);
 }
 
-/** The leader has not answered in time: its standby is asked next, if there is one. */
+/** Marks the leader as unresponsive, so that its standby, if it has one, is asked next. */
 void QuotaExchange::noteSilence(std::uint32_t shard, TimePoint now) {
     if (const auto leader = _leaders.extract(shard)) {
         _unhelpful[leader.mapped()] = now;
@@ -210,8 +229,8 @@
 }
 
 /**
- * Nobody answers for the shard. Nodes that may answer in the leader's place look now whether they
- * reach it, so that links which are cut are found out at the same time, not one after the other.
+ * Probes the nodes that may act for an unresponsive leader. Each of them checks now whether it
+ * reaches the leader, so that broken links are detected concurrently and not one after another.
  */
 void QuotaExchange::probe(std::uint32_t shard) {
     const auto tenant =
@@ -245,7 +264,10 @@
     }
 }
 
-/** Whoever grants where the leader does not answer is asked next, if the leader is lost. */
+/**
+ * Records the node that grants units in place of the unresponsive leader; it is asked next if the
+ * leader is lost.
+ */
 void QuotaExchange::onProbed(std::uint32_t shard, const QuotaAnswer& answer) {
     const auto leader = _leaders.find(shard);
     const bool isOther = leader == _leaders.end() || leader->second != answer.leader;
@@ -254,7 +276,7 @@
     }
 }
 
-/** The answer to a newer question is still waited for, from when that was asked. */
+/** If a newer request is still pending, the unanswered time starts when that request was sent. */
 void QuotaExchange::noteAnswered(RankAccount& account, const Asked& asked) {
     const bool isNewest = !account.asked || account.asked->number == asked.number;
     account.unansweredSince = isNewest ? std::nullopt : std::optional(account.asked->at);
@@ -291,7 +313,7 @@
             ++_statistics.lateAnswers;
         }
     }
-    // An answer that nobody waits for any more only brings units.
+    // A response to an outdated request only adds units.
     if (ranked.asked && ranked.asked->number == asked.number) {
         ranked.asked.reset();
         ranked.notBefore = TimePoint{};
@@ -306,7 +328,10 @@
     }
 }
 
-/** Statements wait for what is there soon enough; others need not ask before it would be. */
+/**
+ * Lets statements wait for units that will be available soon enough. For the others, no request is
+ * sent until the units could come within the longest wait.
+ */
 void QuotaExchange::noteMissing(RankAccount& account, const Asked& asked, const QuotaAnswer& answer,
                                 TimePoint now) {
     const Duration patience = _ranks.patience[asked.rank];
@@ -335,7 +360,7 @@
     }
 }
 
-/** Units that end before the time of use are none. */
+/** Units that expire before the time of use are not counted. */
 QuotaExchange::Wish QuotaExchange::wishOf(const TenantName& tenant, Account& account,
                                           const WaitingStatements& waiting, TimePoint usedAt,
                                           TimePoint now) const {
@@ -363,7 +388,7 @@
     return wish;
 }
 
-/** @return what a statement may wait for that finds no unit. */
+/** @return what a statement that finds no unit may wait for. */
 QuotaVerdict QuotaExchange::prospectOf(const RankAccount& account, TimePoint now) {
     if (account.asked && now - *account.unansweredSince < kAnswerPatience) {
         return {QuotaVerdict::Kind::Waiting, *account.unansweredSince + kAnswerPatience - now};
@@ -392,7 +417,7 @@
         return {QuotaVerdict::Kind::Refused, kRetryWithoutAnswer};
     }
     const TimePoint now = _dependencies.clock.now();
-    // Counted as of a moment later, so that the unit has not ended when it is taken.
+    // Counts units that are usable a moment later, so that a unit has not expired when it is taken.
     const TimePoint usedAt = now + kTakenWithin;
     const QuotaVerdict prospect = lookFor(tenant, waiting, usedAt, now);
     const bool isAtHand = _accounts[tenant].lease.unitsAt(usedAt) >= waiting.count;
@@ -407,7 +432,10 @@
     return isTaken;
 }
 
-/** Asks for what is lacking. @return what a statement may wait for if it finds no unit. */
+/**
+ * Requests the missing units.
+ * @return what a statement that finds no unit may wait for.
+ */
 QuotaVerdict QuotaExchange::lookFor(const TenantName& tenant, const WaitingStatements& waiting,
                                     TimePoint usedAt, TimePoint now) {
     Account& account = _accounts[tenant];
--- a/src/tenancy/QuotaExchange.h
+++ b/src/tenancy/QuotaExchange.h
@@ -1,4 +1,6 @@
-/** Shares tenants' quotas among all nodes: takes units for this one, and grants them to others. */
+/**
+ * Shares tenants' quotas among all nodes: requests units for this node and grants units to others.
+ */
 #pragma once
 
 #include <array>
@@ -23,7 +25,7 @@
 
 namespace coralhoist::tenancy {
 
-/** What an exchange is made of. All outlive it. */
+/** Collaborators of a quota exchange. All of them must outlive it. */
 struct QuotaDependencies {
     const Clock& clock;
     QuotaQuestions& questions;
@@ -32,38 +34,41 @@
     const StoreEra& era;
     NodeLife self;
     ZoneName zone;
-    /** Told that units of a tenant have come, or that none will. */
+    /** Called when units of a tenant have arrived, or when it is known that none will. */
     std::function<void(const TenantName&)> onChange;
 };
 
-/** Statements of one tenant and rank that wait for a unit at this node. */
+/** Statements of one tenant and rank that are queued for a unit at this node. */
 struct WaitingStatements {
     std::uint32_t count = 1;
     std::uint32_t rank = 0;
-    /** Those of them for which a unit is of no use later. */
+    /** Number of these statements that can use a unit only immediately, not later. */
     std::uint32_t nowOnly = 0;
 };
 
-/** Whether a unit may run. */
+/** Result of a request for a unit. */
 struct QuotaVerdict {
     enum class Kind {
         Granted,
-        Waiting, /**< An answer is under way; `retryAfter` is the longest wait for it. */
-        Turn,    /**< A unit will be there after `retryAfter`, and is asked for then. */
-        Refused, /**< `retryAfter` says when a repetition has a chance. */
+        Waiting, /**< A response is pending; `retryAfter` is the longest time to wait for it. */
+        Turn,    /**< A unit will be available after `retryAfter` and must be requested then. */
+        Refused, /**< `retryAfter` is the time after which a retry may succeed. */
     };
     Kind kind = Kind::Granted;
     Duration retryAfter{0};
-    /** Turn only: statements of the rank that have a turn; others that wait have none to expect
-     * before `othersAfter`. */
+    /**
+     * Only for `Turn`: the number of statements of the rank that have a turn. Other queued
+     * statements can't expect a unit before `othersAfter`.
+     */
     std::uint32_t turns = 0;
     Duration othersAfter{0};
 };
 
 /**
- * Tenants are spread over shards, and each shard has one leader at a time, proven by its record in
- * the store. The leader grants a few units at a time, by what the asking node uses; a node runs
- * nothing without a unit. No call of the store is made for a statement.
+ * Tenants are distributed over shards. Each shard has one leader at a time, which proves its
+ * leadership by its record in the store. The leader grants a few units at a time, depending on how
+ * many the requesting node uses; a node runs nothing without a unit. No statement causes a call to
+ * the store.
  */
 class QuotaExchange final : public QuotaEvents {
 public:
@@ -72,26 +77,35 @@
     void applyNodes(const std::vector<pooling::ProxyNode>& nodes);
     void applyTenants(std::shared_ptr<const TenantDirectory> tenants);
 
-    /** Takes what ranks mean from now on, also to what this node grants. */
+    /**
+     * Sets the rank settings that apply from now on, including to the units that this node grants.
+     */
     void applyRanks(const RankTerms& ranks) { _ranks = ranks; }
 
     /**
-     * Takes one unit of the tenant, if there is one.
-     * @param waiting all that wait, with the one for which the unit is.
+     * Takes one unit of the tenant if one is available.
+     * @param waiting all queued statements, including the one that the unit is for.
      */
     QuotaVerdict take(const TenantName& tenant, const WaitingStatements& waiting);
 
     /**
-     * Asks for units as `take` does, but takes none.
-     * @return Granted where as many are at hand as are waited for, usable for a moment longer.
+     * Requests units as `take` does, but takes none.
+     * @return Granted if there are as many units as queued statements and they stay usable for a
+     * moment.
      */
     QuotaVerdict look(const TenantName& tenant, const WaitingStatements& waiting);
 
-    /** Takes a unit that is at hand; `look` has said so in this round of the event loop.
-     * @return whether there was one. */
+    /**
+     * Takes a unit that this node holds; `look` must have found it in the same iteration of the
+     * event loop.
+     * @return whether there was one.
+     */
     bool takeHeld(const TenantName& tenant);
 
-    /** A planned stop: others lead this node's shards at once. */
+    /**
+     * Starts a planned shutdown: other nodes take over the leadership of this node's shards at
+     * once.
+     */
     void beginLeaving();
 
     void onTick(TimePoint now);
@@ -104,48 +118,53 @@
 
     const QuotaStatistics& statistics() const { return _statistics; }
 
-    /** @return shards that this node leads. */
+    /** @return the number of shards that this node leads. */
     std::size_t shardsLed() const;
-    /** @return shards of which this node is a deputy. */
+    /** @return the number of shards for which this node is a deputy. */
     std::size_t shardsAsDeputy() const;
 
 private:
-    /** A question that was sent and is waited for. */
+    /** A request that was sent and whose response is pending. */
     struct Asked {
         std::uint64_t number = 0;
         TimePoint at{};
         std::uint32_t rank = 0;
-        /** Statements that wait for it, or for their turn; other units are asked ahead. */
+        /**
+         * Statements that are queued for this response or for their turn; further units were
+         * requested in advance.
+         */
         std::uint32_t waiting = 0;
-        /** Units of now only that were asked for. */
+        /** Requested units that can be used only immediately. */
         std::uint32_t nowOnly = 0;
     };
-    /** Units to ask for, and how many of them are waited for, now or until their turn. */
+    /**
+     * Units to request, and how many of them statements are queued for, now or until their turn.
+     */
     struct Wish {
         RankedWish units;
         std::uint32_t waiting = 0;
     };
-    /** What this node does about one rank of a tenant. */
+    /** This node's state for one rank of a tenant. */
     struct RankAccount {
         std::optional<Asked> asked;
-        /** Since when no answer has come to any question. */
+        /** Time since which no request has been answered. */
         std::optional<TimePoint> unansweredSince;
         TimePoint lastAskedAt{};
-        /** No units are to be had: the leader is not asked again before. */
+        /** No units are available: the leader is not asked again before this time. */
         TimePoint notBefore{};
-        /** The same for units of now only. */
+        /** The same for units that can be used only immediately. */
         TimePoint nowNotBefore{};
-        /** When a caller that is refused should come back. */
+        /** Time at which a refused caller should retry. */
         TimePoint comeBackAt{};
-        /** When units that were put off will be there, one entry for each. */
+        /** Times at which deferred units will be available, one entry per unit. */
         std::multiset<TimePoint> turns;
     };
-    /** What this node does about one tenant. */
+    /** This node's state for one tenant. */
     struct Account {
         QuotaLease lease;
         std::array<RankAccount, settings::kAdmissionRanks> ranks;
         bool scarce = false;
-        /** Time that the newest answer took. */
+        /** Time that the latest response took. */
         Duration answerTime{0};
     };
 
@@ -177,25 +196,27 @@
     QuotaCalls _calls;
     QuotaStatistics _statistics;
     std::shared_ptr<const TenantDirectory> _tenants;
-    /** All nodes, and their order for each shard. */
+    /** All nodes, and their ranked order for each shard. */
     std::vector<pooling::ProxyNode> _nodes;
     std::map<std::uint32_t, std::vector<pooling::ProxyNode>> _orders;
     std::map<std::uint32_t, std::unique_ptr<QuotaShard>> _shards;
-    /** Leaders that answered last, and their standbys. */
+    /** The leaders that last answered, and their standbys, by shard. */
     std::map<std::uint32_t, NodeName> _leaders;
     std::map<std::uint32_t, NodeName> _standbys;
-    /** Nodes that could not help lately, and when they said so. */
+    /** Nodes that recently declined or failed to answer, and when they did so. */
     std::map<NodeName, TimePoint> _unhelpful;
-    /** By shard with an unanswered question: when its leader is suspected to be out of reach. */
+    /**
+     * By shard with an unanswered request: when its leader becomes suspected of being unreachable.
+     */
     std::map<std::uint32_t, TimePoint> _suspectAt;
-    /** By shard: when other nodes were last asked who grants its units. */
+    /** By shard: when other nodes were last probed for the node that grants its units. */
     std::map<std::uint32_t, TimePoint> _probedAt;
     std::map<TenantName, Account> _accounts;
     RankTerms _ranks;
     std::uint64_t _lastQuestion = 0;
     std::uint64_t _lastCopy = 0;
     bool _leaving = false;
-    /** A question is being sent: its answer may come at once. */
+    /** A request is being sent; its response may arrive synchronously. */
     bool _sending = false;
     std::shared_ptr<bool> _alive = std::make_shared<bool>(true);
 };
--- a/src/tenancy/QuotaLease.cpp
+++ b/src/tenancy/QuotaLease.cpp
@@ -8,10 +8,12 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/** Time over which the rate of a tenant at a node is smoothed. */
+/** Time constant for smoothing a tenant's rate at a node. */
 constexpr Duration kRateSpan = std::chrono::seconds(1);
-/** Ended batches of which the leader is still to be told. Of others it learns nothing, and counts
- * all their units to their end. */
+/**
+ * Maximum number of ended batches kept to be reported to the leader. The leader gets no report of
+ * others, and counts all their units until they expire.
+ */
 constexpr std::size_t kMostEnded = 32;
 
 }  // namespace
--- a/src/tenancy/QuotaLease.h
+++ b/src/tenancy/QuotaLease.h
@@ -1,4 +1,4 @@
-/** What one node holds of one tenant's quota. */
+/** Units of one tenant's quota that one node holds. */
 #pragma once
 
 #include <cstddef>
@@ -13,35 +13,45 @@
 namespace coralhoist::tenancy {
 
 /**
- * Granted units and the rate at which they are used. A unit is used at most once and before its
- * batch ends; what became of a batch is kept until the leader has been told.
+ * Granted units and the rate at which they are used. A unit is used at most once, and before its
+ * batch expires. The usage of a batch is kept until it has been reported to the leader.
  */
 class QuotaLease {
 public:
-    /** Takes the units of an answer. @param usableUntil by the question to which it answers. */
+    /**
+     * Adds the units of a response.
+     * @param usableUntil expiry time, computed from the time of the request.
+     */
     void add(const QuotaAnswer& answer, TimePoint usableUntil, TimePoint now);
 
-    /** Uses a unit. @return whether there was one. */
+    /**
+     * Uses a unit.
+     * @return whether there was one.
+     */
     bool takeUnit(TimePoint now);
 
-    /** @return units that can be used now. */
+    /** @return the number of units that are usable now. */
     std::uint32_t units(TimePoint now);
 
-    /** @return units at hand that can still be used at a later moment. */
+    /** @return the number of held units that are still usable at the given later time. */
     std::uint32_t unitsAt(TimePoint moment) const;
 
-    /** @return whole units that will probably be used within the time given. Rounded up, each
-     * statement of a caller that comes seldom would take two, of which one ends unused and counts
-     * for a window. */
+    /**
+     * @return the number of whole units that will probably be used within the given time. The
+     * number is rounded down: if it were rounded up, each statement of an infrequent caller would
+     * take two units, one of which would expire unused and count for a window.
+     */
     std::uint32_t unitsAhead(Duration span, TimePoint now) const;
 
-    /** @return what is to be told of batches that ended, with their ages as of now. */
+    /**
+     * @return the settlements of expired or used-up batches to report, with their ages as of `now`.
+     */
     std::vector<BatchSettlement> settlements(TimePoint now) const;
 
-    /** The leader has been told of these. */
+    /** Removes settlements that have been reported to the leader. */
     void forget(const std::vector<BatchSettlement>& told);
 
-    /** @return units that ended unused since the last call. */
+    /** @return the number of units that expired unused since the last call. */
     std::uint32_t takeUnused() { return std::exchange(_unused, 0); }
 
 private:
@@ -56,11 +66,11 @@
     void end(const Batch& batch);
     void expire(TimePoint now);
 
-    /** Those that end first in front. */
+    /** Ordered by expiry time, earliest first. */
     std::deque<Batch> _batches;
     std::deque<Batch> _ended;
     std::uint32_t _unused = 0;
-    /** Smoothed units a second that were used, and when that was counted. */
+    /** Smoothed number of units used per second, and the time of its last update. */
     double _rate = 0;
     TimePoint _ratedAt{};
 };
--- a/src/tenancy/QuotaTerms.cpp
+++ b/src/tenancy/QuotaTerms.cpp
@@ -9,8 +9,10 @@
 
 namespace {
 
-/** How long units of a short window may usually be used. They count for that time besides, so a
- * longer one costs units, a shorter one more questions. */
+/**
+ * Default lease time of units of a short window. Units count for this time in addition to the
+ * window, so a longer lease wastes units, and a shorter one causes more requests.
+ */
 constexpr Duration kShortLease = std::chrono::milliseconds(200);
 
 }  // namespace
--- a/src/tenancy/QuotaTerms.h
+++ b/src/tenancy/QuotaTerms.h
@@ -1,4 +1,4 @@
-/** The bound that the sum of all nodes keeps for a tenant. */
+/** Parameters of the bound that all nodes together keep for a tenant. */
 #pragma once
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 namespace coralhoist::tenancy {
 
-/** Window of quotas that say how many units may run in a second. */
+/** Window of quotas that limit how many units may run in a second. */
 constexpr Duration kShortWindow = std::chrono::seconds(1);
 
 /** In any window, all nodes together run at most (rate x window + burst) x (1 + overrun) + slack
@@ -19,30 +19,34 @@
     double overrun = 0.1;
     double slack = 20;
 
-    /** @return the most units that may run in any window. */
+    /** @return the maximum number of units that may run in any window. */
     std::uint32_t bound(const TenantQuota& quota) const;
 
     /**
-     * @return how long granted units may usually be used. A unit counts from its grant on, so a
-     * tenant that sends just its rate and burst has (rate x (window + lease) + burst) units
-     * counted; with the overrun's part of the window this is still within the bound.
+     * @return the default time for which granted units may be used. A unit counts from its grant
+     * on, so a tenant that sends exactly its rate and burst has (rate x (window + lease) + burst)
+     * units counted. Because the lease is at most the overrun's fraction of the window, this is
+     * still within the bound.
      */
     Duration lease() const;
 
-    /** @return the same for a quota, which may have a window of its own. */
+    /** @return the default lease of a quota, which may have its own window. */
     Duration leaseOf(const TenantQuota& quota) const;
 
-    /** @return the window in which the quota's units are summed. */
+    /** @return the window in which the quota's units are counted. */
     Duration windowOf(const TenantQuota& quota) const;
 
-    /** @return the longest window of any quota: what counts no longer for it counts for none. */
+    /** @return the longest window of any quota. Units that are older than it count for no quota. */
     constexpr Duration longestWindow() const { return std::max(window, kShortWindow); }
 
     bool operator==(const QuotaTerms&) const = default;
 };
 
-/** No unit may be used for longer, whatever was asked for: a new leader without the ledger of the
- * former one counts what that may have granted for this time and the window. */
+/**
+ * Maximum time for which a unit may be used, whatever was requested. A new leader without its
+ * predecessor's ledger counts the units that the predecessor may have granted for this time plus
+ * the window.
+ */
 constexpr Duration kLongestQuotaLease = std::chrono::seconds(2);
 
 }  // namespace coralhoist::tenancy
--- a/src/tenancy/RankTerms.cpp
+++ b/src/tenancy/RankTerms.cpp
@@ -6,10 +6,15 @@
 namespace coralhoist::tenancy {
 namespace {
 
-/** Part of a service's objective that a statement may wait for its turn. The rest is for the slot
- * that it takes, and for the way to a server and back. */
+/**
+ * Fraction of a service's latency objective that a statement may spend waiting for its turn. The
+ * rest is for waiting for a server slot and for the round trip to a server.
+ */
 constexpr double kWaitingShare = 0.5;
-/** A service may name an objective beyond its timeout: this part of the timeout is the most. */
+/**
+ * Maximum wait as a fraction of the service's timeout, because a service may have an objective
+ * longer than its timeout.
+ */
 constexpr double kMostOfTimeout = 0.5;
 
 Duration patienceOf(const settings::ServiceSettings& service) {
--- a/src/tenancy/RankTerms.h
+++ b/src/tenancy/RankTerms.h
@@ -1,4 +1,4 @@
-/** What the ranks of services mean to tenants' quotas. */
+/** Effect of services' admission ranks on tenants' quotas. */
 #pragma once
 
 #include <array>
@@ -9,21 +9,28 @@
 
 namespace coralhoist::tenancy {
 
-/** A number for each rank. */
+/** Number of units for each rank. */
 using UnitsByRank = std::array<std::uint32_t, settings::kAdmissionRanks>;
 
 /** Counters by rank, for metrics. */
 using CountersByRank = std::array<std::uint64_t, settings::kAdmissionRanks>;
 
-/** @return the rank of a service's statements. */
+/** @return the admission rank of a service's statements. */
 std::uint32_t rankOf(const settings::ServiceSettings& service);
 
-/** Whether ranks matter, and for how long a statement of each may wait for its turn. */
+/**
+ * Whether services have different ranks, and how long a statement of each rank may wait for its
+ * turn.
+ */
 struct RankTerms {
-    /** Services have different ranks: where all have the same, units go in order of arrival, and
-     * what lies beyond a quota does not wait. */
+    /**
+     * Whether services have different ranks. If all have the same rank, units are granted in order
+     * of arrival, and statements beyond a quota do not wait.
+     */
     bool ranksDiffer = false;
-    /** Longest wait that still leaves a statement of the rank in time; 0 where ranks don't matter.
+    /**
+     * Longest wait after which a statement of the rank can still meet its objective; 0 if all
+     * services have the same rank.
      */
     std::array<Duration, settings::kAdmissionRanks> patience{};
 
--- a/src/tenancy/TenantDirectory.h
+++ b/src/tenancy/TenantDirectory.h
@@ -1,4 +1,4 @@
-/** The tenants of the estate and their credentials, as one version of the settings has them. */
+/** All tenants and their credentials in one version of the settings. */
 #pragma once
 
 #include <cstdint>
@@ -12,34 +12,38 @@
 
 namespace coralhoist::tenancy {
 
-/** How many units of work (single statements and transactions) a tenant may run. */
+/** Limit on the units of work (single statements and transactions) that a tenant may run. */
 struct TenantQuota {
-    /** Units a second, over all nodes. */
+    /** Units per second, over all nodes. */
     double ratePerSecond = 0;
-    /** Units beyond that which may come at once. */
+    /** Units in addition to the rate that may run at once. */
     double burst = 0;
-    /** Where set, in place of both: the most units in any second (`kShortWindow`), whatever the
-     * terms say. */
+    /**
+     * If set, replaces both `ratePerSecond` and `burst`: the maximum number of units in any second
+     * (`kShortWindow`), regardless of the quota terms.
+     */
     std::optional<std::uint32_t> mostInSecond = std::nullopt;
 
     bool operator==(const TenantQuota&) const = default;
 };
 
-/** One tenant. */
 struct Tenant {
     TenantName name;
     TenantQuota quota;
     std::vector<CredentialDigest> credentials;
-    /** Regions that its statements must not leave; empty: any. */
+    /** Regions that the tenant's statements must not leave; empty means any region. */
     std::vector<RegionName> homeRegions = {};
 };
 
-/** Immutable; shared. */
+/** Immutable and shared. */
 class TenantDirectory {
 public:
-    /** No tenants are defined: callers need no credential and have no quota. */
+    /**
+     * Creates a directory in which no tenants are defined: callers need no credential and have no
+     * quota.
+     */
     TenantDirectory() = default;
-    /** The same, in that version of the settings. */
+    /** Creates a directory without tenants for the given version of the settings. */
     explicit TenantDirectory(std::uint64_t version) : _version(version) {}
 
     /**
--- a/src/tenancy/TenantGate.cpp
+++ b/src/tenancy/TenantGate.cpp
@@ -16,23 +16,34 @@
 using pooling::StatementFault;
 using pooling::StatementVerb;
 
-/** Part of the revocation bound for which settings are trusted. The rest covers a statement that
- * has come but was not read yet, and a step of the event loop. */
+/**
+ * Fraction of the revocation bound for which settings are trusted. The rest covers a statement that
+ * has arrived but was not read yet, and one iteration of the event loop.
+ */
 constexpr double kTrustedShare = 0.9;
-/** When a caller of a node with old settings should come back; another node may do better. */
+/** Retry delay for callers of a node with outdated settings; another node may have newer ones. */
 constexpr Duration kRetryWithOldSettings = std::chrono::milliseconds(500);
 
-/** A caller that comes back with the same statement within this time is taken for the one that was
- * refused. */
+/**
+ * If a session repeats a refused statement within this time, it is treated as a retry of that
+ * statement.
+ */
 constexpr Duration kReturnsWithin = std::chrono::seconds(2);
-/** The leader's answer takes this part of the wait that it found to be of use. */
+/**
+ * Allowance added to the longest useful wait, because the leader's response takes up part of a wait
+ * that is judged useful when the response arrives.
+ */
 constexpr Duration kAnswerMargin = std::chrono::milliseconds(30);
-/** A statement waits no longer than this, or than its rank's patience: the time for which a late
- * answer is waited for. */
+/**
+ * A statement waits no longer than this or its rank's longest wait for a turn, whichever is longer.
+ * This is the time for which a late response is awaited.
+ */
 constexpr Duration kLongestWait = std::chrono::milliseconds(700);
 
-/** A statement whose caller has lost more than this part of its rank's patience, before it came
- * back, would be late after the longest wait for a turn. */
+/**
+ * If a caller has spent more than this fraction of its rank's longest wait before its retry, the
+ * statement would be late after the longest wait for a turn.
+ */
 constexpr double kMostLost = 0.25;
 
 StatementError oldSettings() {
@@ -60,7 +71,7 @@
     takeRanks();
 }
 
-/** The pooler's services tell what ranks there are. */
+/** Derives the ranks from the pooler's services. */
 void TenantGate::takeRanks() {
     const std::shared_ptr<const pooling::ServiceCatalog> catalog = _pooler.catalog();
     if (catalog == _catalog) {
@@ -86,7 +97,7 @@
     if (_tenants->requiresCredential(service)) {
         const Tenant* tenant = _tenants->findByCredential(session.credential);
         if (tenant == nullptr) {
-            // Settings that are too old may lack a credential that was added.
+            // Outdated settings may lack a credential that was added.
             const bool known = knowsSettings(_clock.now());
             ++(known ? _statistics.refusedCredential : _statistics.refusedOldSettings);
             return {std::nullopt,
@@ -100,7 +111,7 @@
     return {id, std::nullopt};
 }
 
-/** @return why the statement must not run. */
+/** @return the reason why the statement must not run, if any. */
 std::optional<StatementError> TenantGate::checkAccess(SessionId id, GatedSession& session) {
     if (!_tenants->requiresCredential(session.service)) {
         return std::nullopt;
@@ -112,7 +123,7 @@
     return resolve(id, session);
 }
 
-/** Finds who holds the session's credential now. */
+/** Looks up the tenant that holds the session's credential now. */
 std::optional<StatementError> TenantGate::resolve(SessionId id, GatedSession& session) {
     if (session.resolvedVersion == _tenants->version()) {
         return std::nullopt;
@@ -134,7 +145,7 @@
     return std::nullopt;
 }
 
-/** A single statement or a transaction is one unit, counted with its first statement. */
+/** A single statement or a transaction is one unit, which is counted at its first statement. */
 bool TenantGate::beginsUnit(SessionId id, const Statement& statement) const {
     switch (statement.verb) {
         case StatementVerb::Begin:
@@ -159,7 +170,7 @@
         return;
     }
     GatedSession& session = found->second;
-    // What rolls back or has failed already runs nothing at a server.
+    // A rollback and a statement in a failed transaction run nothing at a server.
     const bool endsOnly = statement.verb == StatementVerb::Rollback ||
                           _pooler.stateOfSession(id) == pooling::SessionState::Failed;
     if (!endsOnly) {
@@ -178,7 +189,9 @@
     admitWaiting(tenant);
 }
 
-/** The statement waits behind those of its rank that have a turn or first asked before. */
+/**
+ * Queues the statement behind those of its rank that have a turn or whose callers asked earlier.
+ */
 void TenantGate::hold(SessionId id, GatedSession& session, Statement statement) {
     takeRanks();
     const TimePoint now = _clock.now();
@@ -218,7 +231,7 @@
     _pooler.refuse(id, statement, std::move(error));
 }
 
-/** Settings past their bound may lack a service that was added: then it is not called unknown. */
+/** Outdated settings may lack a service that was added, so it is not reported as unknown. */
 StatementError TenantGate::refuseUnknownService(const ServiceName& service) {
     const Duration age = _clock.now() - _settingsKnownAt();
     const bool known = _applied == Duration(0) || age <= _applied;
@@ -233,7 +246,7 @@
     return error;
 }
 
-/** Tells in the log what every refusal tells. */
+/** Adds the log fields that all refusals have in common. */
 void TenantGate::describeRefusal(LogEvent& line, const GatedSession& session,
                                  const Statement& statement, const StatementError& error) const {
     line.field("request", statement.id)
@@ -245,7 +258,9 @@
         .field("settings_age_ms", inMilliseconds(_clock.now() - _settingsKnownAt()));
 }
 
-/** Tells of a turn whether there was none in time, or one that was not kept. */
+/**
+ * Logs a refusal by quota, and whether the statement had no turn in time or one that was missed.
+ */
 void TenantGate::logTurnedAway(const GatedSession& session, const Statement& statement,
                                const StatementError& error) const {
     const TimePoint now = _clock.now();
@@ -257,16 +272,19 @@
         .field("first_asked_ms", inMilliseconds(now - session.firstArrival));
 }
 
-/** Passes statements of the tenant on while there are units, the most urgent rank first. */
+/**
+ * Passes statements of the tenant to the pooler while there are units, the most urgent rank first.
+ */
 void TenantGate::admitWaiting(const TenantName& tenant) {
     for (std::uint32_t rank = 0; rank < settings::kAdmissionRanks; ++rank) {
         admitRank({tenant, rank});
     }
 }
 
-/** Passes statements of one rank on, in the order in which their callers first asked. */
+/** Passes statements of one rank to the pooler, in the order in which their callers first asked. */
 void TenantGate::admitRank(const RankedTenant& key) {
-    // A reply may bring the caller's next statement, and with it another call of this method.
+    // A reply may cause the caller to send its next statement, and so a reentrant call of this
+    // method.
     for (auto queue = _waiting.find(key); queue != _waiting.end(); queue = _waiting.find(key)) {
         if (queue->second.empty()) {
             _waiting.erase(queue);
@@ -298,16 +316,19 @@
     }
 }
 
-/** @return the last moment at which the statement still waits, whatever is told meanwhile. */
+/**
+ * @return the time until which the statement waits at most, whatever the responses say meanwhile.
+ */
 TimePoint TenantGate::longestWaitEnd(const GatedSession& session) const {
     return session.waitingSince +
            std::max(_ranks.patience[session.rank] + kAnswerMargin, kLongestWait);
 }
 
 /**
- * Each answer may name a later turn, because more urgent ranks go first: nobody waits through more
- * of them than a single late answer would take.
- * @return whether a statement was refused: the queue has changed.
+ * Refuses a statement that has waited for too long. Each response may name a later turn, because
+ * more urgent ranks come first; a statement waits through several responses no longer than for a
+ * single late one.
+ * @return whether a statement was refused, which changes the queue.
  */
 bool TenantGate::endOverdue(const RankedTenant& key, const QuotaVerdict& verdict) {
     const TimePoint now = _clock.now();
@@ -337,18 +358,21 @@
     return waiting;
 }
 
-/** @return whether a turn that others of its rank would wait for leaves the statement in time. */
+/**
+ * @return whether the statement can wait for a turn as long as others of its rank and still meet
+ * its objective.
+ */
 bool TenantGate::mayWait(const GatedSession& session) const {
     const Duration lost = session.waitingSince - session.firstArrival;
     return lost <= _ranks.patience[session.rank] * kMostLost;
 }
 
-/** @return whether a unit that comes then is of use to the caller. */
+/** @return whether a unit that is granted at the given time is still of use to the caller. */
 bool TenantGate::isInUse(const GatedSession& session, TimePoint turn) const {
     return turn <= session.waitingSince + _ranks.patience[session.rank] + kAnswerMargin;
 }
 
-/** @return a statement for which no unit will come in time. */
+/** @return a statement that will not get a unit in time, if there is one. */
 std::optional<SessionId> TenantGate::withoutProspect(const Queue& queue,
                                                      const QuotaVerdict& verdict) const {
     for (const SessionId id : queue) {
@@ -365,8 +389,8 @@
 }
 
 /**
- * The statements wait for their turns, but for one that has none or for which it comes too late.
- * @return false when such a one was refused: the queue has changed.
+ * Lets the statements wait for their turns, except one that has none or whose turn comes too late.
+ * @return false if such a statement was refused, which changes the queue.
  */
 bool TenantGate::awaitTurn(const RankedTenant& key, const QuotaVerdict& verdict) {
     Queue& queue = _waiting.at(key);
@@ -386,13 +410,13 @@
     return true;
 }
 
-/** The statement of the session that waited for a unit goes on. */
+/** Passes the session's queued statement to the pooler. */
 void TenantGate::passOn(SessionId id, GatedSession& session) {
     _statistics.turnsKeptByRank[session.rank] += session.hasTurn ? 1 : 0;
     _pooler.submit(id, *std::exchange(session.waiting, std::nullopt));
 }
 
-/** The statement of the session that waited for a unit ends. */
+/** Refuses the session's queued statement. */
 void TenantGate::turnAway(SessionId id, GatedSession& session, Duration retryAfter) {
     const Statement statement = *std::exchange(session.waiting, std::nullopt);
     const Duration asked = _clock.now() - session.firstArrival;
--- a/src/tenancy/TenantGate.h
+++ b/src/tenancy/TenantGate.h
@@ -1,4 +1,4 @@
-/** Decides whether a caller's statement may run: its credential, and its tenant's quota. */
+/** Decides by credential and tenant quota whether a caller's statement may run. */
 #pragma once
 
 #include <cstdint>
@@ -27,70 +27,74 @@
     std::uint64_t refusedQuota = 0;
     std::uint64_t refusedOldSettings = 0;
     std::uint64_t waitedForQuota = 0;
-    /** By rank: statements refused by quota; those that waited for their turn, and of these those
-     * that got their unit. */
+    /**
+     * By rank: statements refused by quota, statements that waited for their turn, and those of the
+     * latter that got their unit.
+     */
     CountersByRank refusedQuotaByRank{};
     CountersByRank waitedForTurnByRank{};
     CountersByRank turnsKeptByRank{};
 };
 
-/** A session that was opened, or why not. */
+/** An opened session, or the reason for refusing it. */
 struct SessionOpening {
     std::optional<SessionId> session;
     std::optional<pooling::StatementError> refusal;
 };
 
-/** How long settings may be relied on after they were proven. */
+/** How long settings may be relied on after they were last confirmed. */
 struct SettingsBounds {
-    /** A change is in force everywhere after this time; 0: no bound. */
+    /** Time after which a change is in force on all nodes; 0 means no bound. */
     Duration applied{0};
-    /** A revoked credential must not run anything after this time; 0: no bound. */
+    /** Time after which a revoked credential must not run anything; 0 means no bound. */
     Duration revocation{0};
 };
 
 /**
- * Stands between the callers of this node and its pooler. Single-threaded, no method blocks.
+ * Admission control between this node's callers and its pooler. Single-threaded; no method blocks.
  *
- * Invariants: each submit gets exactly one reply, through the pooler. A statement passes only when
- * its credential is held by a tenant in settings that are known to have been in force within the
- * revocation bound before it came; in a transaction, only while that tenant is the one that it was
- * opened for. What does not pass has not run.
+ * Invariants: each submitted statement gets exactly one reply, through the pooler. A statement
+ * passes only if its credential is held by a tenant in settings that are known to have been in
+ * force within the revocation bound before the statement arrived; in a transaction, only while that
+ * tenant is the one for which the transaction was opened. A statement that does not pass has not
+ * run.
  *
- * Where services have several ranks, what lies beyond a quota waits for its turn while that leaves
- * it in time for its service's objective, the most urgent rank first and within it whoever asked
- * first, refusals included: callers come back on the same session soon after a refusal, whatever
- * they were told, and a lottery would serve the late ones. What has no prospect is refused at once,
- * with the time at which it would have one.
+ * If services have several ranks, statements beyond a quota wait for their turn as long as they can
+ * still meet their service's objective. The most urgent rank comes first, and within a rank the
+ * caller that asked first, where attempts that were refused count as well: callers retry on the
+ * same session soon after a refusal, whatever delay they were given, and a random order would favor
+ * late callers. A statement that can't get a unit in time is refused at once, with the time at
+ * which it could get one.
  */
 class TenantGate {
 public:
     /**
-     * @param settingsKnownAt a time not later than the moment up to which this node knows the
-     *        settings, proven by answers of the store that can't be out of date.
+     * @param settingsKnownAt returns a time not later than the moment up to which this node knows
+     * the settings, proven by responses of the store that can't be stale.
      */
     TenantGate(const Clock& clock, pooling::StatementPooler& pooler, QuotaExchange& quotas,
                std::function<TimePoint()> settingsKnownAt, SettingsBounds bounds);
 
     void applyTenants(std::shared_ptr<const TenantDirectory> tenants);
 
-    /** Opens a session, or tells why not. */
+    /** Opens a session, or returns the reason for refusing it. */
     SessionOpening openSession(const ServiceName& service, const std::string& credential);
 
-    /** Runs a statement of a session that waits for none, or refuses it. */
+    /** Runs or refuses a statement of a session that has no queued statement. */
     void submit(SessionId session, pooling::Statement statement);
 
-    /** Statements that wait for a unit go to the pooler, which begins nothing new any more. */
+    /** Passes all queued statements to the pooler, which begins no new work any more. */
     void passOnWaiting();
 
     void endSession(SessionId session);
 
-    /** Units of the tenant have come, or none will. */
+    /** Called when units of the tenant have arrived, or when it is known that none will. */
     void onQuotaChange(const TenantName& tenant);
 
     void onTick(TimePoint now);
     std::optional<TimePoint> nextTick() const;
 
-    /** @return the age at which settings are too old to judge a credential by; 0: no bound. */
+    /** @return the maximum age of settings for checking a credential; 0 means no bound. */
     Duration oldestSettings() const { return _oldestSettings; }
 
     const GateStatistics& statistics() const { return _statistics; }
@@ -100,19 +104,24 @@
         ServiceName service;
         CredentialDigest credential;
         TenantName tenant;
-        /** Version of the settings in which the tenant was found. */
+        /** Version of the settings in which the tenant was looked up. */
         std::uint64_t resolvedVersion = 0;
-        /** The statement that waits for a unit of the quota, its rank, and since when. */
+        /**
+         * The statement that is queued for a unit of the quota, its rank, and since when it is
+         * queued.
+         */
         std::optional<pooling::Statement> waiting;
         std::uint32_t rank = 0;
         TimePoint waitingSince{};
-        /** It has been told a turn. */
+        /** The queued statement has been given a turn. */
         bool hasTurn = false;
-        /** When the caller first asked for what it asks now, and what was refused last. */
+        /**
+         * When the caller first sent the current statement, and which statement was last refused.
+         */
         TimePoint firstArrival{};
         admission::FirstAsking firstAsking;
     };
-    /** Statements of a tenant that have the same rank. */
+    /** Identifies the statements of a tenant that have the same rank. */
     using RankedTenant = std::pair<TenantName, std::uint32_t>;
     using Queue = std::deque<SessionId>;
 
@@ -153,10 +162,12 @@
     std::unordered_map<SessionId, GatedSession> _sessions;
     std::shared_ptr<const pooling::ServiceCatalog> _catalog;
     RankTerms _ranks;
-    /** Sessions whose statements wait for a unit, in the order in which their callers first asked.
+    /**
+     * Sessions whose statements are queued for a unit, in the order in which their callers first
+     * asked.
      */
     std::map<RankedTenant, Queue> _waiting;
-    /** When statements that wait are looked at again without being called. */
+    /** Times at which queued statements are checked again, even if no event occurs. */
     std::map<RankedTenant, TimePoint> _due;
     GateStatistics _statistics;
 };
--- a/src/tenancy/UnitPacer.cpp
+++ b/src/tenancy/UnitPacer.cpp
@@ -8,26 +8,36 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/** Part of a quota's burst that may be granted at once; what is not is granted as a higher rate.
- * With the whole burst 0.025 to 0.031 of a day's requests failed for want of servers' slots when a
- * large tenant and all others flooded (five plays), where 0.007 failed before. */
+/**
+ * Fraction of a quota's burst that may be granted at once; the rest is granted as a higher rate.
+ * With the whole burst, 0.025 to 0.031 of a day's requests failed for lack of server slots when a
+ * large tenant and all others sent too much at the same time (five simulations), compared with
+ * 0.007 before.
+ */
 constexpr double kBurstAtOnce = 0.25;
-/** Part of the slack, and of a second's rate, that may be granted besides: nodes ask ahead for
- * units that they do not use, and return them later. Without the former a tenant at 0.6 of its rate
- * was refused two of 66 statements in one of 24,000 simulated runs, without the latter one of 21.
+/**
+ * Fractions of the slack and of a second's rate that may be granted in addition, because nodes
+ * request units in advance that they do not use, and return them later. Without the former, a
+ * tenant at 0.6 of its rate was refused two of 66 statements in one of 24,000 simulated runs;
+ * without the latter, in one of 21.
  */
 constexpr double kSlackAtOnce = 0.5;
 constexpr double kRateAtOnce = 0.2;
-/** The same part of what a quota with a short window may run in it, and the least: the first two
- * statements of a transaction. What is granted at once is missing from the steady rate. */
+/**
+ * For a quota with a short window: the fraction of its units that may be granted at once, and the
+ * minimum, which covers the first two statements of a transaction. Units that are granted at once
+ * reduce the steady rate.
+ */
 constexpr double kShortAtOnce = 0.2;
 constexpr double kShortLeastAtOnce = 2;
-/** A unit counts from its grant until a window after its use. Nodes that ask for each statement run
- * it within a few milliseconds of its grant; what counts for longer is found by the ledger.
- * With the whole time for which units are usable in its place, a tenant beyond its limit could not
- * run all that its rate and burst allow. */
+/**
+ * A unit counts from its grant until one window after its use. Nodes that request a unit per
+ * statement use it within a few milliseconds of its grant; the ledger accounts for units that count
+ * for longer. If the whole lease time were used instead, a tenant beyond its limit could not run
+ * all units that its rate and burst allow.
+ */
 constexpr Duration kUsedAfter = std::chrono::milliseconds(100);
-/** Tokens a second at least, for quotas of 0. */
+/** Minimum number of tokens per second, for quotas of 0. */
 constexpr double kLeastRate = 1e-3;
 
 }  // namespace
--- a/src/tenancy/UnitPacer.h
+++ b/src/tenancy/UnitPacer.h
@@ -1,4 +1,4 @@
-/** Spreads the units of one tenant over time. */
+/** Spreads a tenant's units over time. */
 #pragma once
 
 #include <cstdint>
@@ -10,29 +10,29 @@
 namespace coralhoist::tenancy {
 
 /**
- * A token bucket. The ledger alone would let a flood run the units of a whole window at once, at
- * the cost of all others on the same servers, and nothing for the rest of the window. No bound
- * rests on the bucket: it may start full.
+ * Token bucket. The ledger alone would let a burst of requests use the units of a whole window at
+ * once, at the expense of all other tenants on the same servers, and would leave nothing for the
+ * rest of the window. No bound depends on the bucket, so it may start full.
  */
 class UnitPacer {
 public:
-    /** @return units that may be granted now. */
+    /** @return the number of units that may be granted now. */
     std::uint32_t available(const QuotaTerms& terms, const TenantQuota& quota, TimePoint now);
 
-    /** Takes units that were granted. */
+    /** Removes granted units from the bucket. */
     void take(std::uint32_t units) { _tokens -= units; }
 
-    /** Takes back units that did not run. */
+    /** Returns units that were not used to the bucket. */
     void giveBack(std::uint32_t units) { _tokens += units; }
 
-    /** @return what the bucket holds, as of the last call of `available`. */
+    /** @return the state of the bucket as of the last call of `available`. */
     PacedUnits paced() const { return {_tokens, _capacity, _rate}; }
 
-    /** @return after which time so many units may be granted. */
+    /** @return the time after which the given number of units may be granted. */
     Duration untilAvailable(std::uint32_t units) const;
 
 private:
-    /** Tokens a second. */
+    /** Tokens per second. */
     double _rate = 0;
     double _tokens = 0;
     double _capacity = 0;
--- a/src/tenancy/UnitTurns.cpp
+++ b/src/tenancy/UnitTurns.cpp
@@ -9,22 +9,34 @@
 using Seconds = std::chrono::duration<double>;
 using std::chrono::milliseconds;
 
-/** Time over which the demand of a rank is smoothed. */
+/** Time constant for smoothing the demand of a rank. */
 constexpr Duration kDemandSpan = std::chrono::seconds(1);
-/** The bucket keeps what more urgent ranks ask for in this time: their statements come in bunches,
- * which find their units while the others wait. */
+/**
+ * The bucket reserves the units that more urgent ranks request within this time: their statements
+ * arrive in bursts, and find units available while the other ranks wait.
+ */
 constexpr Duration kKeptFor = milliseconds(250);
-/** No more of the bucket is kept than this part. */
+/** Maximum fraction of the bucket that is reserved. */
 constexpr double kMostKept = 0.5;
-/** A turn that nobody came back in is forgotten after this time. Callers wait no longer than their
- * objective, and a question takes some hundred milliseconds on a crowded machine. */
+/**
+ * An unclaimed turn expires after this time. Callers wait no longer than their objective, and a
+ * request takes a few hundred milliseconds on an overloaded machine.
+ */
 constexpr Duration kTurnKept = milliseconds(200);
-/** A question for a turn may come so much before it is due: times are rounded on their way. */
+/**
+ * A request for a turn may arrive this much before the turn is due, because times are rounded in
+ * transit.
+ */
 constexpr Duration kEarly = milliseconds(5);
-/** Most turns of one rank; others are told the time, and come back as new ones. */
+/**
+ * Maximum number of turns of one rank. Callers beyond it get the time without a turn, and their
+ * retries count as new requests.
+ */
 constexpr std::size_t kMostTurns = 1024;
-/** Part of the rate that a rank gets at least, for the time that it is told: while more urgent
- * ranks ask for all of it, its turn lies far away. */
+/**
+ * Minimum fraction of the rate that is assumed for a rank when its announced time is computed.
+ * While more urgent ranks request the whole rate, the turn is far in the future.
+ */
 constexpr double kLeastPace = 0.02;
 
 std::uint32_t wholeUnits(double units) {
@@ -62,7 +74,7 @@
     return perSecond;
 }
 
-/** @return units of the bucket that are kept for more urgent ranks. */
+/** @return the number of units in the bucket that are reserved for more urgent ranks. */
 double UnitTurns::keptFrom(std::uint32_t rank, const PacedUnits& paced, TimePoint now) const {
     return std::min(demandBefore(rank, now) * Seconds(kKeptFor).count(),
                     paced.capacity * kMostKept);
@@ -102,7 +114,7 @@
     return units;
 }
 
-/** @return units of more urgent ranks whose turn has come. */
+/** @return the number of units of more urgent ranks whose turn is due. */
 std::uint32_t UnitTurns::dueBefore(std::uint32_t rank, TimePoint now) {
     std::uint32_t units = 0;
     for (std::uint32_t urgent = 0; urgent < rank; ++urgent) {
@@ -113,10 +125,10 @@
     return units;
 }
 
-/** @return units of the bucket that are others' before the wish has any. */
+/** @return the number of units in the bucket that belong to others before the request gets any. */
 double UnitTurns::ahead(const RankedWish& wish, const PacedUnits& paced, TimePoint now) {
     expire(now);
-    // The turn was given with the time that the bucket needs to keep its part.
+    // The due time of a turn already includes the time that the bucket needs for its reserved part.
     if (wish.units() == wish.inTurn) {
         return dueBefore(wish.rank, now);
     }
--- a/src/tenancy/UnitTurns.h
+++ b/src/tenancy/UnitTurns.h
@@ -1,4 +1,6 @@
-/** Shares one tenant's units among ranks, and remembers whom its leader has told to come back. */
+/**
+ * Distributes one tenant's units among ranks, and tracks the turns that its leader has announced.
+ */
 #pragma once
 
 #include <array>
@@ -10,58 +12,65 @@
 
 namespace coralhoist::tenancy {
 
-/** What the tenant's bucket holds. */
+/** State of the tenant's token bucket. */
 struct PacedUnits {
     double tokens = 0;
     double capacity = 0;
-    /** Tokens a second. */
+    /** Tokens per second. */
     double rate = 0;
 };
 
-/** Units of one rank that a question wants. */
+/** Units of one rank that a request asks for. */
 struct RankedWish {
     std::uint32_t rank = 0;
-    /** Units that may wait for a turn. */
+    /** Units that may be deferred to a turn. */
     std::uint32_t fresh = 0;
     /** Units whose turn has come. */
     std::uint32_t inTurn = 0;
-    /** Units that are of no use later: their callers were refused before. */
+    /** Units that are of no use later, because their callers were refused before. */
     std::uint32_t nowOnly = 0;
 
     std::uint32_t units() const { return fresh + inTurn + nowOnly; }
 
-    /** @return what is left of the wish when so many units are granted, those in turn first. */
+    /**
+     * @return the remaining request after the given number of units is granted, units in turn
+     * first.
+     */
     RankedWish without(std::uint32_t granted) const;
 };
 
 /**
- * Answers a tenant that sends more than its quota with requests of several ranks, whose callers
- * come back soon after a refusal. The most urgent rank finds its units: a part of the bucket is
- * kept for the demand that was seen of it, no more than half, so that what is not used goes on to
- * the others. What is put off gets a turn, behind those that have one: within a rank those who came
- * first are served first, and callers learn of a time that holds.
+ * Schedules the units of a tenant that sends requests of several ranks beyond its quota, whose
+ * callers retry soon after a refusal. The most urgent rank finds its units available: a part of the
+ * bucket is reserved for the demand observed for that rank, at most half of the bucket, so that
+ * unused units go to the other ranks. Deferred units get a turn, behind those that already have
+ * one. So within a rank, requests are served in order of arrival, and callers get a time that can
+ * be relied on.
  *
- * A turn is a time and no unit: nothing counts until it is granted. Turns are bounded in number and
- * expire; a leader that is lost loses turns and nothing else.
+ * A turn is only a time, not a unit: nothing counts until it is granted. Turns are limited in
+ * number and expire; if a leader is lost, only the turns are lost.
  */
 class UnitTurns {
 public:
-    /** Fresh units of the rank are asked for. */
+    /** Records demand for units of the rank that have no turn yet. */
     void noteAsked(std::uint32_t rank, std::uint32_t units, TimePoint now);
 
-    /** Units come back in their turn. @return how many of them had one; it is theirs no more. */
+    /**
+     * Claims units whose turn has come.
+     * @return the number of units that had a turn. Their turns are used up.
+     */
     std::uint32_t claim(std::uint32_t rank, std::uint32_t units, TimePoint now);
 
-    /** @return units that the wish may take of the bucket. */
+    /** @return the number of units that the request may take from the bucket. */
     std::uint32_t grantable(const RankedWish& wish, const PacedUnits& paced, TimePoint now);
 
-    /** @return after which time so much of the wish that is put off will be there. */
+    /** @return the time after which the deferred part of the request will be available. */
     Duration untilGranted(const RankedWish& putOff, const PacedUnits& paced, TimePoint now);
 
-    /** The units may come back at the time given. */
+    /** Gives the units a turn at the given time. */
     void promise(std::uint32_t rank, std::uint32_t units, TimePoint due);
 
-    /** @return units of this and more urgent ranks that have a turn. */
+    /** @return the number of units of this rank and more urgent ones that have a turn. */
     std::uint32_t promisedUpTo(std::uint32_t rank, TimePoint now);
 
 private:
@@ -81,7 +90,7 @@
     double ahead(const RankedWish& wish, const PacedUnits& paced, TimePoint now);
 
     std::array<Demand, settings::kAdmissionRanks> _demand{};
-    /** Those that are due first in front. */
+    /** Ordered by due time, earliest first. */
     std::array<std::deque<Turn>, settings::kAdmissionRanks> _turns;
 };
 
--- a/tests/tenancy/GatedNode.h
+++ b/tests/tenancy/GatedNode.h
@@ -1,4 +1,4 @@
-/** The gate of one simulated node, and callers that come back after a refusal. */
+/** The admission gate of one simulated node, and callers that retry after a refusal. */
 #pragma once
 
 #include <array>
@@ -13,7 +13,7 @@
 
 namespace coralhoist::tenancy {
 
-/** Services "rank0" to "rank2" with objectives of 200, 400 and 1,500 ms. */
+/** Services "rank0" to "rank2" with latency objectives of 200, 400 and 1,500 ms. */
 std::shared_ptr<const pooling::ServiceCatalog> threeRanks();
 
 /** The same services, all of rank 0. */
@@ -21,31 +21,34 @@
 
 constexpr std::size_t kSimulatedRanks = 3;
 
-/** What became of the callers' requests, by the rank of their service. */
+/** Outcome of the callers' requests, by the rank of their service. */
 struct CallersServed {
     struct Rank {
         std::size_t asked = 0;
         std::size_t ran = 0;
-        /** Ran within the service's objective. */
+        /** Requests that ran within the service's latency objective. */
         std::size_t inTime = 0;
         std::size_t refused = 0;
-        /** Single tries that were refused, and those of them that were told 1 ms or less. */
+        /** Refused attempts, and those of them with a retry delay of 1 ms or less. */
         std::size_t refusals = 0;
         std::size_t toldAtOnce = 0;
     };
     std::array<Rank, kSimulatedRanks> ranks{};
 };
 
-/** A pooler whose servers never answer, behind a gate: what begins a transaction has its unit. */
+/**
+ * A gate in front of a pooler whose servers never respond. A session in a transaction has got its
+ * unit.
+ */
 class GatedNode final : public pooling::PoolerOutput {
 public:
     GatedNode(const Clock& clock, QuotaExchange& quotas, CallersServed& served,
               std::vector<TimePoint>& runs, const std::shared_ptr<const TenantDirectory>& tenants,
               const std::shared_ptr<const pooling::ServiceCatalog>& catalog, unsigned seed);
 
-    /** A caller of the rank's service asks, and comes back twice after 50 to 180 ms. */
+    /** Sends a request to the rank's service; the caller retries twice, after 50 to 180 ms. */
     void ask(std::uint32_t rank);
-    /** The caller that asked last leaves. */
+    /** Disconnects the caller that asked last. */
     void leave();
     void step(TimePoint now);
     void applyTenants(const std::shared_ptr<const TenantDirectory>& tenants);
--- a/tests/tenancy/QuotaBoundTest.cpp
+++ b/tests/tenancy/QuotaBoundTest.cpp
@@ -1,8 +1,9 @@
 /**
- * The bound of a tenant's quota under random faults that overlap: kills, freezes, planned stops,
- * cuts of nodes, links and the store, lists that differ, late answers of nodes and store.
+ * Checks the bound of a tenant's quota under random, overlapping faults: crashes and suspended
+ * processes, planned shutdowns, network partitions of nodes, links and the store, inconsistent node
+ * lists, and late responses of nodes and the store.
  *
- * CORALHOIST_QUOTA_SEEDS sets how many seeds are played, CORALHOIST_QUOTA_FIRST_SEED the first one.
+ * CORALHOIST_QUOTA_SEEDS sets the number of seeds, CORALHOIST_QUOTA_FIRST_SEED the first one.
  */
 #include <CppUTest/TestHarness.h>
 
@@ -25,11 +26,16 @@
 const QuotaTerms kTerms{seconds(5), 0.1, 20};
 constexpr milliseconds kFaultsFor{15000};
 constexpr milliseconds kHealedFor{14000};
-/** Nobody replaces a leader for the longest use of a unit and a window more when the store has
- * returned older, of which nodes learn within a second. */
+/**
+ * After the store was restored to an older state, which nodes detect within a second, no node
+ * replaces a leader for the longest lease of a unit plus a window.
+ */
 constexpr milliseconds kHealedForAfterReturns{kHealedFor + seconds(8)};
 constexpr milliseconds kCalmFor{4000};
-/** Part of a calm tenant's statements that must run once all faults have ended. */
+/**
+ * Minimum fraction of the statements of a tenant with low load that must run once all faults have
+ * ended.
+ */
 constexpr double kLeastServed = 0.97;
 
 unsigned fromEnvironment(const char* name, unsigned otherwise) {
@@ -37,7 +43,7 @@
     return text == nullptr ? otherwise : static_cast<unsigned>(std::strtoul(text, nullptr, 10));
 }
 
-/** Whether the store returns older in a run, now and then. */
+/** Whether the store is occasionally restored to an older state during a run. */
 enum class StoreReturns { None, Some };
 
 enum class QuotaKind { RateAndBurst, MostInSecond };
@@ -47,14 +53,17 @@
         return {static_cast<double>(1 + random() % 80), static_cast<double>(random() % 80)};
     }
     const auto most = static_cast<std::uint32_t>(3 + random() % 80);
-    // The rate tells the runs how many statements to send.
+    // The runs derive the number of statements to send from the rate.
     return {static_cast<double>(most), 0, most};
 }
 
-/** One run: faults under changing load, then a calm time without faults. */
+/** One simulated run: faults under changing load, then a period of low load without faults. */
 class FaultyRun {
 public:
-    /** @param catalog of callers who come back when refused; null: statements come alone. */
+    /**
+     * @param catalog services of callers that retry when refused; null: statements are sent without
+     * retries.
+     */
     FaultyRun(unsigned seed, std::shared_ptr<const pooling::ServiceCatalog> catalog,
               StoreReturns returns, QuotaKind kind = QuotaKind::RateAndBurst)
         : _random(seed),
@@ -87,7 +96,7 @@
         playFor(_returns == StoreReturns::Some ? kHealedForAfterReturns : kHealedFor);
     }
 
-    /** @return the part of a calm tenant's statements that run. */
+    /** @return the fraction of statements that run under low load. */
     double servedWhenCalm() {
         const std::size_t ranBefore = network.runCount();
         const std::size_t refusedBefore = refusedCount();
@@ -128,7 +137,7 @@
         _now += milliseconds(1);
     }
 
-    /** @return statements, or requests of callers, that were refused for good. */
+    /** @return the number of statements, or of callers' requests, that were refused for good. */
     std::size_t refusedCount() const {
         std::size_t refused = network.refusedCount();
         for (const CallersServed::Rank& rank : network.served().ranks) {
@@ -152,7 +161,7 @@
 
 TEST_GROUP(QuotaBound){};
 
-/** @return what seeds broke, and how. */
+/** @return the seeds in which the bound was exceeded, with details. */
 std::string brokenBySeeds(unsigned seeds,
                           const std::shared_ptr<const pooling::ServiceCatalog>& catalog,
                           StoreReturns returns = StoreReturns::None,
--- a/tests/tenancy/QuotaExchangeTest.cpp
+++ b/tests/tenancy/QuotaExchangeTest.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t kNodes = 12;
 const QuotaTerms kTerms{seconds(5), 0.1, 20};
 const TenantQuota kQuota{200, 200};
-/** (rate x window + burst) x (1 + overrun) + slack. */
+/** (rate x window + burst) x (1 + overrun) + slack, for the quota and terms below. */
 constexpr std::size_t kBound = 1340;
 
 TEST_GROUP(QuotaExchange) {
@@ -23,7 +23,9 @@
         return random() % bound;
     }
 
-    /** @return how many of the statements ran that come at the rate given, spread over the nodes.
+    /**
+     * @return the number of statements that ran, of those sent at the given rate and spread over
+     * the nodes.
      */
     std::size_t play(int milliseconds, double perSecond) {
         std::bernoulli_distribution arrives(perSecond / 1000);
@@ -53,12 +55,15 @@
     CHECK_TRUE(network.busiestWindow() > 950);
 }
 
-/** A quota of 20 units in any second. */
+/** Tests with a quota of 20 units in any second. */
 TEST_GROUP(ShortWindow) {
     QuotaNetwork network{kNodes, {10, 0, 20}, kTerms};
     std::mt19937 random{4711};
 
-    /** @return units that ran in the seconds given, of so many statements a second. */
+    /**
+     * @return the number of units that ran within the given seconds, at the given number of
+     * statements per second.
+     */
     std::size_t play(int length, int perSecond) {
         std::bernoulli_distribution arrives(perSecond / 1000.0);
         const std::size_t before = network.runCount();
--- a/tests/tenancy/QuotaFaults.cpp
+++ b/tests/tenancy/QuotaFaults.cpp
@@ -20,7 +20,7 @@
     return std::uniform_int_distribution<std::size_t>(0, _nodes - 1)(_random);
 }
 
-/** Faults of the node that leads are those that matter most. */
+/** Prefers the leading node, because its faults matter most. */
 std::size_t QuotaFaults::leaderOrAny() {
     const std::vector<std::size_t> leaders = _network.leaders();
     return leaders.empty() || _random() % 3 == 0 ? anyNode() : leaders[_random() % leaders.size()];
@@ -167,7 +167,7 @@
     }
 }
 
-/** Some nodes are not listed by others, as when they have just joined. */
+/** Removes some nodes from other nodes' lists, as when they have just joined. */
 void QuotaFaults::hideNodes(Duration now, Duration length) {
     note("lists differ", now, length);
     for (const std::size_t node : anyNodes()) {
@@ -229,7 +229,10 @@
     return deputies.empty() ? anyNode() : deputies[_random() % deputies.size()];
 }
 
-/** Two sides or three: each link between nodes of different sides is cut. */
+/**
+ * Partitions the network into two or three sides: each link between nodes of different sides is
+ * cut.
+ */
 void QuotaFaults::cutIntoSides(Duration now, Duration length) {
     note("cut into sides", now, length);
     const std::size_t sides = 2 + _random() % 2;
--- a/tests/tenancy/QuotaFaults.h
+++ b/tests/tenancy/QuotaFaults.h
@@ -1,4 +1,4 @@
-/** Random faults of nodes, links, lists, answers and the store, for a simulated network. */
+/** Random faults of nodes, links, node lists, responses and the store, for a simulated network. */
 #pragma once
 
 #include <functional>
@@ -12,25 +12,27 @@
 
 namespace coralhoist::tenancy {
 
-/** Plays faults that begin at random times, overlap and heal. */
+/** Injects faults that begin at random times, overlap and are repaired. */
 class QuotaFaults {
 public:
     QuotaFaults(QuotaNetwork& network, std::size_t nodes, std::mt19937& random);
 
-    /** Begins one more fault of a random kind. */
+    /** Injects one more fault of a random kind. */
     void begin(Duration now);
-    /** Cuts the network into sides that all reach the store. */
+    /** Partitions the network into sides that all reach the store. */
     void cutIntoSides(Duration now, Duration length);
-    /** Begins a fault of those that matter while the network is cut: of the leader, of deputies, of
-     * the store, of links. */
+    /**
+     * Injects a fault that matters during a network partition: of the leader, of deputies, of the
+     * store, or of links.
+     */
     void beginBesideCut(Duration now);
-    /** The store goes away, and comes back from a copy of up to 4 s before. */
+    /** Makes the store unavailable, then restores it from a copy that is up to 4 s old. */
     void returnStoreOlder(Duration now);
-    /** Heals what is due. */
+    /** Repairs the faults that are due. */
     void step(Duration now);
     void healAll();
 
-    /** @return the faults that were begun, for messages. */
+    /** @return a description of the injected faults, for failure messages. */
     const std::string& story() const { return _story; }
 
 private:
--- a/tests/tenancy/QuotaFloodTest.cpp
+++ b/tests/tenancy/QuotaFloodTest.cpp
@@ -1,18 +1,18 @@
 /**
- * A tenant ran more than its quota.
+ * Guards against a tenant exceeding its quota when the load rises suddenly: with a bound of 185
+ * units in 5 s, 190 units ran one second after all traffic had doubled, without any fault of a
+ * node, a link or the store.
  *
- * What users saw: a tenant with a bound of 185 units in 5 s ran 190 of them, a second after all
- * traffic had doubled. No node died, none was cut off, the store was there.
+ * Under low load, many nodes request units in advance and do not use all of them within their
+ * lease. When the load rises, all these nodes send requests at once and return units that have been
+ * unused for seconds. The accounting node's bucket has refilled since, so crediting the returned
+ * units grants them a second time. Under load, responses are late as well: if a response later than
+ * 60 ms is treated as a missing accounting node, the requesting node runs its own units in addition
+ * to those granted.
  *
- * Order of events: while the tenant is calm, many nodes ask ahead for units and do not use all of
- * them within their lease. The flood makes all these nodes ask at once, and each returns with its
- * question what it did not use seconds ago. The account, which has refilled since, grants those
- * units a second time. Small machines answer late meanwhile: an answer later than 60 ms was taken
- * for no accounting node, and the asking node ran units of its own beside those granted.
- *
- * Evidence: in a calm network (answers after 1 ms) units returned late are the only cause at work:
- * without their credit the first test holds. With late answers, units run without an account are
- * (counted by QuotaStatistics).
+ * In a network with responses after 1 ms, only units that are returned late cause the fault: the
+ * first test passes without their credit. With late responses, units that run without an accounting
+ * node are a second cause (counted by QuotaStatistics).
  */
 #include <CppUTest/TestHarness.h>
 
@@ -30,7 +30,7 @@
 constexpr std::size_t kNodes = 24;
 const QuotaTerms kTerms{seconds(5), 0.1, 20};
 const TenantQuota kQuota{25, 25};
-/** (rate x window + burst) x (1 + overrun) + slack. */
+/** (rate x window + burst) x (1 + overrun) + slack, for the quota and terms below. */
 constexpr std::size_t kBound = 185;
 constexpr double kCalmPerSecond = 10;
 constexpr int kSeeds = 40;
@@ -38,7 +38,7 @@
 constexpr milliseconds kFloodFor{6000};
 constexpr milliseconds kLateBefore{1000};
 
-/** A tenant that is calm, then sends many times its quota at random nodes. */
+/** Simulates a tenant with low load that then sends many times its quota to random nodes. */
 class Flood {
 public:
     explicit Flood(unsigned seed)
@@ -69,7 +69,7 @@
     double _perSecond;
 };
 
-/** @return seeds in which the bound was exceeded, with what is known of them. */
+/** @return the seeds in which the bound was exceeded, with details. */
 std::string exceededWithAnswersAfter(Duration delay) {
     std::string exceeded;
     for (unsigned seed = 1; seed <= kSeeds; ++seed) {
--- a/tests/tenancy/QuotaNetwork.cpp
+++ b/tests/tenancy/QuotaNetwork.cpp
@@ -9,11 +9,15 @@
 using std::chrono::milliseconds;
 
 constexpr Duration kQuestionDelay = milliseconds(1);
-/** A link that is cut or whose other end stands still is given up after this time, as by its
- * heartbeats. */
+/**
+ * A link that is cut, or whose other end is suspended, is closed after this time, as heartbeats
+ * would do.
+ */
 constexpr Duration kLinkTimeout = milliseconds(500);
 
-/** A node lists other kinds so often, and learns of the store's era by that. */
+/**
+ * Interval at which a node lists records of other kinds, by which it learns the epoch of the store.
+ */
 constexpr Duration kListEvery = milliseconds(1000);
 
 const TenantName kTenant{"t"};
@@ -152,7 +156,10 @@
         _network.send(std::move(packet), answerDelay);
     }
 
-    /** Records of other kinds show a node that starts whether the store has returned. */
+    /**
+     * Lists records of other kinds, from which a starting node learns whether the store was
+     * restored.
+     */
     void noteEra(std::uint64_t era) {
         _era->note(era, "store");
         _era->noteWritten(_network._store.firstEra());
@@ -175,7 +182,7 @@
                              }));
     }
 
-    /** A question of another node has come. */
+    /** Handles a request of another node. */
     void onQuestion(const Packet& packet) {
         const std::uint64_t asker = ++_lastAsker;
         _askers[asker] = packet;
@@ -201,7 +208,7 @@
         }
     }
 
-    /** Links on which something is waited for are given up in time. */
+    /** Closes links on which a response has been pending for the link timeout. */
     void giveUpLinks() {
         const TimePoint now = _network._clock.now();
         std::set<std::size_t> lost;
@@ -243,7 +250,7 @@
     bool frozen = false;
     bool leaving = false;
     Duration answerDelay = milliseconds(1);
-    /** What came while the node stood still. */
+    /** Messages that arrived while the node was suspended. */
     std::vector<Packet> unread;
     std::vector<std::function<void()>> unreadStore;
 
@@ -292,13 +299,16 @@
                 exchange->onQuotaAnswer(packet.number, std::nullopt);
             }
         }
-        // A link that was lost is tried by a connection of its own.
+        // A lost link is retried by a new connection.
         if (!_network.isConnected(_index, node)) {
             _lostUntil[node] = TimePoint::max();
         }
     }
 
-    /** Calls back unless this life has ended; later if the node stands still. */
+    /**
+     * Wraps the callback so that it is not called after this incarnation has ended, and is deferred
+     * while the node is suspended.
+     */
     template <typename Answer>
     std::function<void(const Answer&)> whileAlive(std::function<void(const Answer&)> callback) {
         return [this, calledIn = life, callback = std::move(callback)](const Answer& answer) {
@@ -323,7 +333,7 @@
     std::uint64_t _lastAsker = 0;
     std::map<std::uint64_t, Packet> _unanswered;
     std::map<std::uint64_t, TimePoint> _sentAt;
-    /** Links that were given up, and when they are usable again. */
+    /** Closed links, and when they are usable again. */
     std::map<std::size_t, TimePoint> _lostUntil;
 };
 
@@ -482,7 +492,7 @@
         if (node->isActive()) {
             node->step();
         }
-        // Connections to nodes that are reached again open soon.
+        // Connections to nodes that are reachable again open after a short time.
         for (auto& [other, until] : node->_lostUntil) {
             if (until == TimePoint::max() && isConnected(node->_index, other)) {
                 until = _clock.now() + milliseconds(200);
@@ -595,7 +605,8 @@
 }
 
 std::size_t QuotaNetwork::busiestWindowSince(TimePoint begin) const {
-    // Of its own: what judges must not follow what is judged.
+    // The test determines the window independently: the check must not depend on the code under
+    // test.
     const Duration window = _quota.mostInSecond ? std::chrono::seconds(1) : _terms.window;
     std::size_t busiest = 0;
     std::size_t first = 0;
--- a/tests/tenancy/QuotaNetwork.h
+++ b/tests/tenancy/QuotaNetwork.h
@@ -1,4 +1,4 @@
-/** Nodes that share quotas over a simulated network and store, with faults of both. */
+/** Nodes that share quotas over a simulated network and store, both with injectable faults. */
 #pragma once
 
 #include <map>
@@ -16,91 +16,108 @@
 
 namespace coralhoist::tenancy {
 
-/** One tenant "t" on a number of nodes; time moves in steps of a millisecond. */
+/** One tenant "t" on several nodes; time advances in steps of one millisecond. */
 class QuotaNetwork {
 public:
-    /** @param catalog services of callers that come through gates; null: statements come alone. */
+    /**
+     * @param catalog services of callers that come through gates; null: statements are sent without
+     * gates.
+     */
     QuotaNetwork(std::size_t nodes, TenantQuota quota, QuotaTerms terms, unsigned seed = 1,
                  std::shared_ptr<const pooling::ServiceCatalog> catalog = nullptr);
     ~QuotaNetwork();
 
-    /** Delivers what is due after a step. */
+    /** Delivers the messages that are due after one step of time. */
     void step();
 
-    /** A statement arrives. It runs now, or after an answer that it waits for, or never. */
+    /**
+     * Sends a statement to a node. It runs immediately, or after a response that it waits for, or
+     * never.
+     */
     void submit(std::size_t node);
 
-    /** Looks for so many units at a node, which are not taken. */
+    /** Checks for the given number of units at a node without taking them. */
     QuotaVerdict look(std::size_t node, std::uint32_t count);
-    /** Takes a unit that has been found. */
+    /** Takes a unit that `look` has found. */
     void takeHeld(std::size_t node);
 
-    /** A caller of a service of the rank comes to the node's gate, and comes back when refused. */
+    /**
+     * Sends a request of a caller to a service of the rank through the node's gate; the caller
+     * retries when refused.
+     */
     void ask(std::size_t node, std::uint32_t rank);
-    /** The newest caller of a node leaves. */
+    /** Disconnects the most recent caller of a node. */
     void leave(std::size_t node);
     const CallersServed& served() const { return _served; }
-    /** @return counters of the gates of all nodes' newest lives together. */
+    /** @return the summed gate counters of all nodes' current incarnations. */
     GateStatistics gateStatistics() const;
 
-    /** Links between the nodes in the set and the others are cut; the store is on the other side.
+    /**
+     * Cuts the links between the nodes in the set and the others, with the store on the side of the
+     * others.
      */
     void cut(const std::set<std::size_t>& nodes);
-    /** Links between the nodes in the set and the others are cut; all reach the store. */
+    /** Cuts the links between the nodes in the set and the others; all nodes reach the store. */
     void cutFromEachOther(const std::set<std::size_t>& nodes) { _cut = nodes; }
-    /** The link between two nodes is cut, in both directions. */
+    /** Cuts the link between two nodes in both directions. */
     void setLinkCut(std::size_t left, std::size_t right, bool cut);
-    /** The node reaches the store no more. */
+    /** Cuts the node off from the store. */
     void setStoreCut(std::size_t node, bool cut) { _store.setCut(node, cut); }
     void setStoreDown(bool down) { _store.faults().down = down; }
     SimulatedShardStore& store() { return _store; }
-    /** The store shows its era in each answer, as one that may return older does. */
+    /**
+     * Lets the store include its epoch in each response, as a store does that may be restored to an
+     * older state.
+     */
     void showEras();
 
-    /** Ends the process of a node. */
+    /** Stops the process of a node without a shutdown. */
     void stop(std::size_t node);
     void start(std::size_t node);
     void restart(std::size_t node);
     bool isRunning(std::size_t node) const;
-    /** The process stands still; what comes meanwhile is read afterwards. */
+    /** Suspends the process; messages that arrive meanwhile are read after it resumes. */
     void setFrozen(std::size_t node, bool frozen);
-    /** A planned stop begins: the node leads nothing more and goes on as an asking node. */
+    /**
+     * Starts a planned shutdown: the node gives up leadership and continues as a requesting node
+     * only.
+     */
     void beginLeaving(std::size_t node);
 
-    /** Answers of all nodes take so long from now on; questions 1 ms. */
+    /** Sets the delay of all nodes' responses from now on; requests take 1 ms. */
     void setAnswerDelay(Duration delay);
     void setAnswerDelay(std::size_t node, Duration delay);
 
-    /** The nodes that a node lists. */
+    /** Sets the nodes that a node lists. */
     void setListed(std::size_t node, const std::set<std::size_t>& listed);
 
-    /** The quota changes; each node learns of it at once. */
+    /** Changes the quota; all nodes learn of it immediately. */
     void setQuota(TenantQuota quota);
 
-    /** @return the most units that ran within a window of the terms. */
+    /** @return the maximum number of units that ran within any window of the terms. */
     std::size_t busiestWindow() const;
-    /** @return the same of the windows that begin from now on, as of a later moment. */
+    /** @return the same for the windows that begin at or after the given time. */
     std::size_t busiestWindowSince(TimePoint begin) const;
     TimePoint now() const { return _clock.now(); }
 
     std::size_t runCount() const { return _runs.size(); }
     std::size_t refusedCount() const { return _refused; }
-    /** Statements that ran or were refused at a node. */
+    /** Numbers of statements that ran or were refused at a node. */
     struct Judged {
         std::size_t ran = 0;
         std::size_t refused = 0;
     };
     Judged judgedAt(std::size_t node) const;
-    /** @return nodes that lead the tenant's shard by their own view. */
+    /** @return the number of nodes that consider themselves leader of the tenant's shard. */
     std::vector<std::size_t> leaders() const;
-    /** @return nodes that are deputies of the leader by their own view. */
+    /** @return the number of nodes that consider themselves deputies of the leader. */
     std::vector<std::size_t> deputies() const;
-    /** @return counters of all lives of all nodes together. */
+    /** @return the summed counters of all incarnations of all nodes. */
     QuotaStatistics statistics() const;
 
 private:
     class Node;
-    /** A message on its way. */
+    /** A message in transit. */
     struct Packet {
         enum class Kind { Question, Answer, Update, Ack };
         Kind kind = Kind::Question;
@@ -111,9 +128,9 @@
         QuotaAnswer answer;
         LedgerUpdate update;
         LedgerAck ack;
-        /** Life of the node that asked. */
+        /** Incarnation of the node that sent the request. */
         std::uint64_t life = 0;
-        /** Life of the node to which a question or update was sent. */
+        /** Incarnation of the node to which a request or update was sent. */
         std::uint64_t targetLife = 0;
     };
 
@@ -129,18 +146,18 @@
     TenantQuota _quota;
     QuotaTerms _terms;
     std::vector<std::unique_ptr<Node>> _nodes;
-    /** By the time at which they arrive. */
+    /** Ordered by arrival time. */
     std::multimap<TimePoint, Packet> _packets;
     std::set<std::size_t> _cut;
     std::set<std::pair<std::size_t, std::size_t>> _cutLinks;
-    /** Counters of lives that ended. */
+    /** Counters of incarnations that ended. */
     QuotaStatistics _ended;
     std::shared_ptr<const pooling::ServiceCatalog> _catalog;
     CallersServed _served;
     std::vector<TimePoint> _runs;
     std::size_t _refused = 0;
     std::map<std::size_t, Judged> _judged;
-    /** Nodes at which statements wait, one entry for each statement. */
+    /** Nodes at which statements are queued, one entry per statement. */
     std::vector<std::size_t> _waiting;
 };
 
--- a/tests/tenancy/QuotaOwedTest.cpp
+++ b/tests/tenancy/QuotaOwedTest.cpp
@@ -1,6 +1,7 @@
 /**
- * What a tenant is owed: below its limit all that it asks, beyond it as many units as its rate and
- * burst allow. 78 nodes, each with a statement or two of the tenant at a time.
+ * Checks that a tenant gets its full quota: all statements run below its limit, and beyond it as
+ * many units as its rate and burst allow. Simulates 78 nodes, each with one or two statements of
+ * the tenant at a time.
  */
 #include <CppUTest/TestHarness.h>
 
@@ -19,12 +20,12 @@
 constexpr int kCountFor = 15000;
 const QuotaTerms kTerms{seconds(5), 0.1, 20};
 
-/** What became of a tenant's statements while they were counted. */
+/** Outcome of a tenant's statements during the measured period. */
 struct Served {
     double asked = 0;
     double ran = 0;
     double refused = 0;
-    /** Units that rate and burst allow in the time. */
+    /** Number of units that rate and burst allow in this period. */
     double allowed = 0;
     std::size_t busiestWindow = 0;
 };
@@ -34,7 +35,7 @@
     return (quota.ratePerSecond * window + quota.burst) / window;
 }
 
-/** Plays a tenant that sends so many times its rate, without returns after a refusal. */
+/** Simulates a tenant that sends a multiple of its rate and does not retry after a refusal. */
 Served play(const TenantQuota& quota, double times) {
     QuotaNetwork network(kNodes, quota, kTerms);
     network.setAnswerDelay(milliseconds(2));
--- a/tests/tenancy/QuotaRanksTest.cpp
+++ b/tests/tenancy/QuotaRanksTest.cpp
@@ -1,6 +1,6 @@
 /**
- * A tenant that sends more than its limit, with callers of three ranks on 78 nodes who come back
- * twice within 50 to 180 ms of a refusal: who gets its units.
+ * Checks how units are distributed among ranks when a tenant sends more than its limit: callers of
+ * three ranks on 78 nodes retry twice, within 50 to 180 ms of a refusal.
  */
 #include <CppUTest/TestHarness.h>
 
@@ -18,7 +18,7 @@
 constexpr int kSettleFor = 8000;
 constexpr int kCountFor = 12000;
 const QuotaTerms kTerms{seconds(5), 0.1, 20};
-/** Of a hundred callers so many are of rank 0, and so many of rank 0 or 1. */
+/** Per hundred callers: the number of rank 0, and the number of rank 0 or 1. */
 constexpr unsigned kMostUrgent = 13;
 constexpr unsigned kUrgent = 77;
 
@@ -65,7 +65,7 @@
     std::poisson_distribution<int> _arrivals;
 };
 
-/** @return what was served after the load has settled. */
+/** @return the outcome of the requests after the load has settled. */
 Played play(const TenantQuota& quota, double times,
             std::shared_ptr<const pooling::ServiceCatalog> catalog) {
     Callers callers(quota, times, std::move(catalog));
@@ -146,7 +146,10 @@
     CHECK_TRUE(inTime(played.served.ranks[0]) < 0.5);
 }
 
-/** Loses the leader every 2.5 s. @return units that ran. */
+/**
+ * Stops the leader every 2.5 s.
+ * @return the number of units that ran.
+ */
 std::size_t ranWithLostLeaders(std::shared_ptr<const pooling::ServiceCatalog> catalog) {
     Callers callers(kLarge, 6, std::move(catalog));
     for (int round = 0; round < 6; ++round) {
@@ -159,7 +162,10 @@
     return callers.network.runCount();
 }
 
-/** Turns are soft: units are granted by whoever leads, no fewer than without turns. */
+/**
+ * Turns are not part of the bound: whichever node leads grants the units, and no fewer of them than
+ * without turns.
+ */
 TEST(QuotaRanks, ALeaderThatIsLostLosesTurnsAndDoublesNothing) {
     const auto without = static_cast<double>(ranWithLostLeaders(oneRank()));
     CHECK_TRUE(static_cast<double>(ranWithLostLeaders(threeRanks())) >= 0.9 * without);
--- a/tests/tenancy/TenantGateTest.cpp
+++ b/tests/tenancy/TenantGateTest.cpp
@@ -16,7 +16,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** Connections never open: what reaches the pooler waits there. */
+/** Connections never open, so statements that reach the pooler stay queued there. */
 class SilentServers final : public pooling::ServerConnector {
 public:
     ConnectionId open(const pooling::ServerAddress& /*address*/, const TenantName& /*tenant*/,
@@ -98,7 +98,10 @@
         statement.verb = verb;
         gate.submit(session, statement);
     }
-    /** Services of two ranks, with objectives of 200 and 1,000 ms; another node accounts. */
+    /**
+     * Defines services of two ranks, with objectives of 200 and 1,000 ms; another node is the
+     * accounting node.
+     */
     void defineRanks() {
         auto catalog = std::make_shared<pooling::ServiceCatalog>();
         for (const std::uint32_t rank : {0U, 2U}) {
@@ -112,7 +115,7 @@
         define(2, {tenant("a", "key-a")});
         listAccountingNodes();
     }
-    /** The leader answers the newest question. */
+    /** Delivers the leader's response to the latest request. */
     void answer(std::uint32_t granted, Duration retryAfter = {}) {
         QuotaAnswer answer;
         answer.granted = granted;
@@ -122,8 +125,10 @@
         answer.leader = NodeName("m1");
         quotas.onQuotaAnswer(links.lastQuestion, answer);
     }
-    /** @return units that the newest question wants of a rank: part 0 of those that may wait, 1 of
-     * those in turn, 2 of those of now only. */
+    /**
+     * @return the number of units of a rank in the latest request: part 0 are units that may wait,
+     * part 1 units in turn, part 2 units that are of use only immediately.
+     */
     std::uint32_t wanted(std::size_t part, std::size_t rank) const {
         return links.lastAsked.wantedByRank.at(part * settings::kAdmissionRanks + rank);
     }
@@ -146,7 +151,7 @@
         }
         quotas.applyNodes(nodes);
     }
-    /** Opens a transaction of a tenant for which another node accounts. */
+    /** Begins a transaction of a tenant for which another node is the accounting node. */
     void beginWithAccountingNode() {
         listAccountingNodes();
         submit(open("key-a"), StatementVerb::Begin);
@@ -255,7 +260,7 @@
 TEST(TenantGate, WhatLiesBeyondTheQuotaIsRefusedAtOnceWithTheTimeToComeBack) {
     define(2, {tenant("a", "key-a", 2)});
     const SessionId session = open("key-a");
-    // (rate x window + burst) x (1 + overrun) + slack.
+    // The bound is (rate x window + burst) x (1 + overrun) + slack.
     constexpr std::size_t kBound = 33;
     std::size_t ran = 0;
     for (int unit = 0; unit < 1000; ++unit) {
@@ -294,7 +299,10 @@
     CHECK_TRUE(lastFault() == StatementFault::Busy);
 }
 
-/** A stop as planned closes idle sessions; this one has a statement, which would get no answer. */
+/**
+ * A planned shutdown closes idle sessions. A session with a queued statement must not count as
+ * idle, because the statement would get no reply.
+ */
 TEST(TenantGate, ASessionWhoseStatementWaitsForAUnitIsNotIdle) {
     beginWithAccountingNode();
     clock.advance(milliseconds(200));
@@ -358,8 +366,10 @@
     CHECK_TRUE(lastFault() == StatementFault::Busy);
 }
 
-/** Each answer is followed by a question for those that came meanwhile, so an answer is always
- * under way: the first of them must not wait for as long as others come. */
+/**
+ * Each response is followed by a request for the statements that arrived meanwhile, so a response
+ * is always pending under overload. The first statement must not wait for as long as others arrive.
+ */
 TEST(TenantGate, InAFloodNobodyWaitsLongerThanForALateAnswer) {
     defineRanks();
     const SessionId first = open("key-a", "patient");
@@ -372,7 +382,7 @@
     CHECK_TRUE(replies.size() >= 5);
     UNSIGNED_LONGS_EQUAL(0, ran());
     CHECK_TRUE(pooler.stateOfSession(first) == SessionState::Idle);
-    // It may ask again, so it waits for nothing.
+    // The gate may send a request again, so the statement waits for no response.
     const std::size_t before = replies.size();
     submit(first, StatementVerb::Rollback);
     UNSIGNED_LONGS_EQUAL(before + 1, replies.size());
--- a/tests/tenancy/UnitTurnsTest.cpp
+++ b/tests/tenancy/UnitTurnsTest.cpp
@@ -12,7 +12,10 @@
     UnitTurns turns;
     TimePoint now{seconds(1000)};
 
-    /** A bucket that holds so many tokens of 20, and gets 100 a second. */
+    /**
+     * A bucket that holds the given number of tokens, with a capacity of 20 and a rate of 100 per
+     * second.
+     */
     static PacedUnits holding(double tokens) {
         return {tokens, 20, 100};
     }
@@ -27,7 +30,7 @@
 
 TEST(UnitTurns, APartOfTheBucketIsKeptForTheDemandOfMoreUrgentRanks) {
     turns.noteAsked(0, 20, now);
-    // 20 a second for 250 ms.
+    // 20 units per second are reserved for 250 ms.
     UNSIGNED_LONGS_EQUAL(0, grantable(1, 1, 5.5));
     UNSIGNED_LONGS_EQUAL(1, grantable(1, 1, 6));
     UNSIGNED_LONGS_EQUAL(1, grantable(0, 1, 1));
@@ -86,7 +89,7 @@
 
 TEST(UnitTurns, TheTimeCountsWhatMoreUrgentRanksTake) {
     turns.noteAsked(0, 50, now);
-    // 10 tokens are kept, and half of the rate is left.
+    // 10 tokens are reserved, and half of the rate is left.
     CHECK_TRUE(turns.untilGranted({1, 1, 0, 0}, holding(0), now) == milliseconds(220));
 }
 
