--- a/src/placement/QuotaRequestUnits.cpp
+++ b/src/placement/QuotaRequestUnits.cpp
@@ -54,15 +54,15 @@
 
 warmup::RequestProspect QuotaRequestUnits::look(const GroupName& group, const ServerName& server,
                                                 const warmup::RequestWish& wish) {
-    const tenancy::QuotaVerdict verdict =
+    const tenancy::QuotaDecision verdict =
         _quotas.look(quotaOf(group, server), {wish.count, wish.rank, 0});
     switch (verdict.kind) {
-        case tenancy::QuotaVerdict::Kind::Granted:
+        case tenancy::QuotaDecision::Kind::Granted:
             return {true, Duration(0)};
-        case tenancy::QuotaVerdict::Kind::Waiting:
+        case tenancy::QuotaDecision::Kind::Waiting:
             return {false, std::min(verdict.retryAfter, kAnswerExpectedIn)};
-        case tenancy::QuotaVerdict::Kind::Turn:
-        case tenancy::QuotaVerdict::Kind::Refused:
+        case tenancy::QuotaDecision::Kind::Turn:
+        case tenancy::QuotaDecision::Kind::Refused:
             break;
     }
     return {false, verdict.retryAfter};
--- a/src/tenancy/QuotaCalls.cpp
+++ b/src/tenancy/QuotaCalls.cpp
@@ -6,24 +6,24 @@
 
 void QuotaCalls::ask(const NodeName& node, const QuotaQuestion& question, AnswerCallback callback) {
     const std::uint64_t number = ++_last;
-    _asked[number] = std::move(callback);
+    _pendingRequests[number] = std::move(callback);
     _questions.askForQuota(node, number, question);
 }
 
 void QuotaCalls::update(const NodeName& node, const LedgerUpdate& update, AckCallback callback) {
     const std::uint64_t number = ++_last;
-    _updates[number] = std::move(callback);
+    _pendingUpdates[number] = std::move(callback);
     _questions.updateLedger(node, number, update);
 }
 
 void QuotaCalls::onAnswer(std::uint64_t question, const std::optional<QuotaAnswer>& answer) {
-    if (const auto asked = _asked.extract(question)) {
+    if (const auto asked = _pendingRequests.extract(question)) {
         asked.mapped()(answer);
     }
 }
 
 void QuotaCalls::onAck(std::uint64_t question, const std::optional<LedgerAck>& ack) {
-    if (const auto sent = _updates.extract(question)) {
+    if (const auto sent = _pendingUpdates.extract(question)) {
         sent.mapped()(ack);
     }
 }
--- a/src/tenancy/QuotaCalls.h
+++ b/src/tenancy/QuotaCalls.h
@@ -30,8 +30,8 @@
 
 private:
     QuotaQuestions& _questions;
-    std::map<std::uint64_t, AnswerCallback> _asked;
-    std::map<std::uint64_t, AckCallback> _updates;
+    std::map<std::uint64_t, AnswerCallback> _pendingRequests;
+    std::map<std::uint64_t, AckCallback> _pendingUpdates;
     std::uint64_t _last = 0;
 };
 
--- a/src/tenancy/QuotaExchange.cpp
+++ b/src/tenancy/QuotaExchange.cpp
@@ -17,28 +17,28 @@
  * Fraction of the units' usable time for which units are requested in advance. With a larger
  * fraction, more units would expire unused.
  */
-constexpr double kAskedAhead = 0.6;
+constexpr double kPrefetchShare = 0.6;
 /**
  * In addition to the usual lease time, units stay usable for this multiple of the time that the
  * latest response took.
  */
-constexpr int kAnswerTimes = 2;
+constexpr int kResponseTimeMultiple = 2;
 /**
  * A statement waits at most this long for the response to the request that was sent for it or
  * before it. Responses from a loaded machine are slow, and take twice as long because the standby
  * answers the leader first.
  */
-constexpr Duration kAnswerPatience = milliseconds(700);
+constexpr Duration kResponseTimeout = milliseconds(700);
 /**
  * After this time since the latest request, the timeout for a response starts anew for new
  * statements.
  */
-constexpr Duration kSilenceForgotten = std::chrono::seconds(1);
+constexpr Duration kTimeoutRestartAfter = std::chrono::seconds(1);
 /**
  * A node that declined is not asked again before this time has passed: it has just started, is
  * shutting down, or can't reach the store. Another node may be able to answer.
  */
-constexpr Duration kUnhelpfulFor = milliseconds(500);
+constexpr Duration kUnavailableFor = milliseconds(500);
 /**
  * If services have different ranks, the leader is asked again after this time, however late a unit
  * was announced: nodes may settle their batches early, and more urgent demand may end.
@@ -123,16 +123,17 @@
 Duration QuotaExchange::usableFor(const TenantName& tenant, const Account& account) const {
     const Tenant* known = _tenants->find(tenant);
     const Duration lease = known == nullptr ? _terms.lease() : _terms.leaseOf(known->quota);
-    return std::min(lease + account.answerTime * kAnswerTimes, kLongestQuotaLease);
+    return std::min(lease + account.answerTime * kResponseTimeMultiple, kLongestQuotaLease);
 }
 
-void QuotaExchange::ask(const TenantName& tenant, Account& account, const Wish& wish,
+void QuotaExchange::ask(const TenantName& tenant, Account& account, const RequestPlan& plan,
                         TimePoint now) {
-    const std::uint32_t rank = wish.units.rank;
+    const std::uint32_t rank = plan.units.rank;
     RankAccount& ranked = account.ranks[rank];
-    const Asked asked{++_lastQuestion, now, rank, wish.waiting, wish.units.nowOnly};
-    ranked.asked = asked;
-    if (!ranked.unansweredSince || now - ranked.lastAskedAt >= kSilenceForgotten) {
+    const PendingRequest pending{++_lastQuestion, now, rank, plan.waiting,
+                                 plan.units.immediateOnly};
+    ranked.pending = pending;
+    if (!ranked.unansweredSince || now - ranked.lastAskedAt >= kTimeoutRestartAfter) {
         ranked.unansweredSince = now;
     }
     ranked.lastAskedAt = now;
@@ -140,13 +141,13 @@
     ranked.turns.erase(ranked.turns.begin(), ranked.turns.upper_bound(now));
     QuotaQuestion question;
     question.tenant = tenant;
-    question.wanted = wish.units.units();
+    question.wanted = plan.units.units();
     if (_ranks.ranksDiffer) {
         constexpr std::size_t kRanks = settings::kAdmissionRanks;
         question.wantedByRank.resize(3 * kRanks);
-        question.wantedByRank[rank] = wish.units.fresh;
-        question.wantedByRank[kRanks + rank] = wish.units.inTurn;
-        question.wantedByRank[2 * kRanks + rank] = wish.units.nowOnly;
+        question.wantedByRank[rank] = plan.units.fresh;
+        question.wantedByRank[kRanks + rank] = plan.units.inTurn;
+        question.wantedByRank[2 * kRanks + rank] = plan.units.immediateOnly;
     }
     question.usableFor = usableFor(tenant, account);
     question.leaderSilent = !_leaders.contains(quotaShardOf(tenant));
@@ -154,10 +155,10 @@
     _statistics.unused += account.lease.takeUnused();
     _sending = true;
     send(quotaShardOf(tenant), question,
-         [this, alive = std::weak_ptr<bool>(_alive), tenant, asked,
+         [this, alive = std::weak_ptr<bool>(_alive), tenant, pending,
           question](const QuotaAnswer& answer) {
              if (!alive.expired()) {
-                 onAnswer(tenant, asked, question, answer);
+                 onAnswer(tenant, pending, question, answer);
              }
          });
     _sending = false;
@@ -168,8 +169,8 @@
  * shard's order, which finds the leader; nothing if that node is this one.
  */
 std::optional<NodeName> QuotaExchange::remoteTarget(std::uint32_t shard, TimePoint now) {
-    std::erase_if(_unhelpful,
-                  [now](const auto& entry) { return now - entry.second >= kUnhelpfulFor; });
+    std::erase_if(_unavailableSince,
+                  [now](const auto& entry) { return now - entry.second >= kUnavailableFor; });
     for (const auto* names : {&_leaders, &_standbys}) {
         const auto known = names->find(shard);
         if (known != names->end() && isUsable(known->second)) {
@@ -188,13 +189,14 @@
 }
 
 bool QuotaExchange::isUsable(const NodeName& node) const {
-    return node != _dependencies.self.node && _calls.canReach(node) && !_unhelpful.contains(node);
+    return node != _dependencies.self.node && _calls.canReach(node) &&
+           !_unavailableSince.contains(node);
 }
 
 /** Marks the leader as unresponsive, so that its standby, if it has one, is asked next. */
-void QuotaExchange::noteSilence(std::uint32_t shard, TimePoint now) {
+void QuotaExchange::markLeaderUnresponsive(std::uint32_t shard, TimePoint now) {
     if (const auto leader = _leaders.extract(shard)) {
-        _unhelpful[leader.mapped()] = now;
+        _unavailableSince[leader.mapped()] = now;
     }
 }
 
@@ -221,7 +223,7 @@
                    _suspectAt.erase(shard);
                    const QuotaAnswer taken = answer.value_or(declinedAnswer(Duration(0)));
                    if (taken.declined) {
-                       _unhelpful[node] = _dependencies.clock.now();
+                       _unavailableSince[node] = _dependencies.clock.now();
                        _leaders.erase(shard);
                    }
                    reply(taken);
@@ -277,26 +279,26 @@
 }
 
 /** If a newer request is still pending, the unanswered time starts when that request was sent. */
-void QuotaExchange::noteAnswered(RankAccount& account, const Asked& asked) {
-    const bool isNewest = !account.asked || account.asked->number == asked.number;
-    account.unansweredSince = isNewest ? std::nullopt : std::optional(account.asked->at);
+void QuotaExchange::noteAnswered(RankAccount& account, const PendingRequest& pending) {
+    const bool isNewest = !account.pending || account.pending->number == pending.number;
+    account.unansweredSince = isNewest ? std::nullopt : std::optional(account.pending->at);
 }
 
-void QuotaExchange::onAnswer(const TenantName& tenant, const Asked& asked,
+void QuotaExchange::onAnswer(const TenantName& tenant, const PendingRequest& pending,
                              const QuotaQuestion& question, const QuotaAnswer& answer) {
     const auto found = _accounts.find(tenant);
     if (found == _accounts.end()) {
         return;
     }
     Account& account = found->second;
-    RankAccount& ranked = account.ranks[asked.rank];
+    RankAccount& ranked = account.ranks[pending.rank];
     const TimePoint now = _dependencies.clock.now();
     const std::uint32_t shard = quotaShardOf(tenant);
     if (answer.declined) {
         _leaders.erase(shard);
         if (answer.retryAfter > Duration(0)) {
             _standbys.erase(shard);
-            noteAnswered(ranked, asked);
+            noteAnswered(ranked, pending);
         }
     } else {
         _leaders[shard] = answer.leader;
@@ -305,21 +307,21 @@
         } else {
             _standbys[shard] = answer.standby;
         }
-        noteAnswered(ranked, asked);
-        account.answerTime = now - asked.at;
+        noteAnswered(ranked, pending);
+        account.answerTime = now - pending.at;
         account.lease.forget(question.settled);
-        account.lease.add(answer, asked.at + question.usableFor, now);
-        if (answer.granted > 0 && now >= asked.at + question.usableFor) {
+        account.lease.add(answer, pending.at + question.usableFor, now);
+        if (answer.granted > 0 && now >= pending.at + question.usableFor) {
             ++_statistics.lateAnswers;
         }
     }
     // A response to an outdated request only adds units.
-    if (ranked.asked && ranked.asked->number == asked.number) {
-        ranked.asked.reset();
+    if (ranked.pending && ranked.pending->number == pending.number) {
+        ranked.pending.reset();
         ranked.notBefore = TimePoint{};
-        ranked.comeBackAt = TimePoint{};
+        ranked.retryAt = TimePoint{};
         if (answer.declined || answer.granted < question.wanted) {
-            noteMissing(ranked, asked, answer, now);
+            noteMissing(ranked, pending, answer, now);
         }
         account.scarce = answer.scarce;
     }
@@ -332,96 +334,98 @@
  * Lets statements wait for units that will be available soon enough. For the others, no request is
  * sent until the units could come within the longest wait.
  */
-void QuotaExchange::noteMissing(RankAccount& account, const Asked& asked, const QuotaAnswer& answer,
-                                TimePoint now) {
-    const Duration patience = _ranks.patience[asked.rank];
-    account.comeBackAt = now + answer.retryAfter;
-    if (asked.nowOnly > 0) {
-        account.nowNotBefore = std::min(account.comeBackAt, now + kAskAgainAfter);
-    }
-    if (patience == Duration(0) || answer.retryAfter > patience) {
-        const TimePoint inReach = account.comeBackAt - patience;
+void QuotaExchange::noteMissing(RankAccount& account, const PendingRequest& pending,
+                                const QuotaAnswer& answer, TimePoint now) {
+    const Duration maxTurnWait = _ranks.maxTurnWait[pending.rank];
+    account.retryAt = now + answer.retryAfter;
+    if (pending.immediateOnly > 0) {
+        account.immediateNotBefore = std::min(account.retryAt, now + kAskAgainAfter);
+    }
+    if (maxTurnWait == Duration(0) || answer.retryAfter > maxTurnWait) {
+        const TimePoint inReach = account.retryAt - maxTurnWait;
         account.notBefore =
-            patience == Duration(0) ? inReach : std::min(inReach, now + kAskAgainAfter);
+            maxTurnWait == Duration(0) ? inReach : std::min(inReach, now + kAskAgainAfter);
         return;
     }
-    const std::uint32_t granted = std::min(asked.waiting, answer.granted);
-    for (std::uint32_t unit = granted; unit < asked.waiting; ++unit) {
-        account.turns.insert(account.comeBackAt);
+    const std::uint32_t granted = std::min(pending.waiting, answer.granted);
+    for (std::uint32_t unit = granted; unit < pending.waiting; ++unit) {
+        account.turns.insert(account.retryAt);
     }
 }
 
-void QuotaExchange::giveUpLate(const TenantName& tenant, RankAccount& account, TimePoint now) {
-    if (account.asked && now - account.asked->at >= kAnswerPatience) {
-        account.asked.reset();
+void QuotaExchange::abandonTimedOutRequest(const TenantName& tenant, RankAccount& account,
+                                           TimePoint now) {
+    if (account.pending && now - account.pending->at >= kResponseTimeout) {
+        account.pending.reset();
         account.notBefore = now;
-        account.comeBackAt = now;
-        noteSilence(quotaShardOf(tenant), now);
+        account.retryAt = now;
+        markLeaderUnresponsive(quotaShardOf(tenant), now);
     }
 }
 
 /** Units that expire before the time of use are not counted. */
-QuotaExchange::Wish QuotaExchange::wishOf(const TenantName& tenant, Account& account,
-                                          const WaitingStatements& waiting, TimePoint usedAt,
-                                          TimePoint now) const {
+QuotaExchange::RequestPlan QuotaExchange::planRequest(const TenantName& tenant, Account& account,
+                                                      const QueuedStatements& waiting,
+                                                      TimePoint usedAt, TimePoint now) const {
     const RankAccount& ranked = account.ranks[waiting.rank];
     const Duration span =
-        std::chrono::duration_cast<Duration>(usableFor(tenant, account) * kAskedAhead);
+        std::chrono::duration_cast<Duration>(usableFor(tenant, account) * kPrefetchShare);
     const std::uint32_t ahead = account.scarce ? 0 : account.lease.unitsAhead(span, now);
     const std::uint32_t units = std::min(account.lease.units(now), account.lease.unitsAt(usedAt));
-    const std::uint32_t nowOnly = now >= ranked.nowNotBefore ? waiting.nowOnly : 0;
-    const std::uint32_t count = waiting.count - (waiting.nowOnly - nowOnly);
+    const std::uint32_t immediateOnly =
+        now >= ranked.immediateNotBefore ? waiting.immediateOnly : 0;
+    const std::uint32_t count = waiting.count - (waiting.immediateOnly - immediateOnly);
     const std::uint32_t lacking = count - std::min(count, units);
     const auto due = static_cast<std::uint32_t>(
         std::distance(ranked.turns.begin(), ranked.turns.upper_bound(now)));
     const std::uint32_t expected = units + static_cast<std::uint32_t>(ranked.turns.size());
-    Wish wish;
-    wish.units.rank = waiting.rank;
-    wish.units.inTurn = std::min(due, lacking);
+    RequestPlan plan;
+    plan.units.rank = waiting.rank;
+    plan.units.inTurn = std::min(due, lacking);
     if (now >= ranked.notBefore && expected < count + ahead / 2) {
         const std::uint32_t more = count + ahead - expected;
-        wish.units.nowOnly = std::min(nowOnly, more);
-        wish.units.fresh = more - wish.units.nowOnly;
+        plan.units.immediateOnly = std::min(immediateOnly, more);
+        plan.units.fresh = more - plan.units.immediateOnly;
     }
-    const std::uint32_t mayWait = wish.units.inTurn + wish.units.fresh;
-    wish.waiting = std::min(mayWait, lacking - std::min(lacking, wish.units.nowOnly));
-    return wish;
+    const std::uint32_t mayWait = plan.units.inTurn + plan.units.fresh;
+    plan.waiting = std::min(mayWait, lacking - std::min(lacking, plan.units.immediateOnly));
+    return plan;
 }
 
 /** @return what a statement that finds no unit may wait for. */
-QuotaVerdict QuotaExchange::prospectOf(const RankAccount& account, TimePoint now) {
-    if (account.asked && now - *account.unansweredSince < kAnswerPatience) {
-        return {QuotaVerdict::Kind::Waiting, *account.unansweredSince + kAnswerPatience - now};
-    }
-    const bool knowsTime = now < account.comeBackAt;
-    const Duration others = knowsTime ? account.comeBackAt - now : kRetryWithoutAnswer;
-    if (!account.asked && !account.turns.empty()) {
-        return {QuotaVerdict::Kind::Turn, std::max(Duration(0), *account.turns.begin() - now),
+QuotaDecision QuotaExchange::decisionWithoutUnit(const RankAccount& account, TimePoint now) {
+    if (account.pending && now - *account.unansweredSince < kResponseTimeout) {
+        return {QuotaDecision::Kind::Waiting, *account.unansweredSince + kResponseTimeout - now};
+    }
+    const bool knowsTime = now < account.retryAt;
+    const Duration others = knowsTime ? account.retryAt - now : kRetryWithoutAnswer;
+    if (!account.pending && !account.turns.empty()) {
+        return {QuotaDecision::Kind::Turn, std::max(Duration(0), *account.turns.begin() - now),
                 static_cast<std::uint32_t>(account.turns.size()), others};
     }
-    return {QuotaVerdict::Kind::Refused, others};
+    return {QuotaDecision::Kind::Refused, others};
 }
 
-QuotaVerdict QuotaExchange::take(const TenantName& tenant, const WaitingStatements& waiting) {
+QuotaDecision QuotaExchange::take(const TenantName& tenant, const QueuedStatements& waiting) {
     const TimePoint now = _dependencies.clock.now();
-    const QuotaVerdict prospect = lookFor(tenant, waiting, now, now);
+    const QuotaDecision withoutUnit = lookFor(tenant, waiting, now, now);
     if (_accounts[tenant].lease.takeUnit(now)) {
         ++_statistics.ran;
-        return {QuotaVerdict::Kind::Granted, {}};
+        return {QuotaDecision::Kind::Granted, {}};
     }
-    return prospect;
+    return withoutUnit;
 }
 
-QuotaVerdict QuotaExchange::look(const TenantName& tenant, const WaitingStatements& waiting) {
+QuotaDecision QuotaExchange::look(const TenantName& tenant, const QueuedStatements& waiting) {
     if (_tenants->find(tenant) == nullptr) {
-        return {QuotaVerdict::Kind::Refused, kRetryWithoutAnswer};
+        return {QuotaDecision::Kind::Refused, kRetryWithoutAnswer};
     }
     const TimePoint now = _dependencies.clock.now();
     // Counts units that are usable a moment later, so that a unit has not expired when it is taken.
     const TimePoint usedAt = now + kTakenWithin;
-    const QuotaVerdict prospect = lookFor(tenant, waiting, usedAt, now);
+    const QuotaDecision withoutUnit = lookFor(tenant, waiting, usedAt, now);
     const bool isAtHand = _accounts[tenant].lease.unitsAt(usedAt) >= waiting.count;
-    return isAtHand ? QuotaVerdict{QuotaVerdict::Kind::Granted, {}} : prospect;
+    return isAtHand ? QuotaDecision{QuotaDecision::Kind::Granted, {}} : withoutUnit;
 }
 
 bool QuotaExchange::takeHeld(const TenantName& tenant) {
@@ -436,20 +440,20 @@
  * Requests the missing units.
  * @return what a statement that finds no unit may wait for.
  */
-QuotaVerdict QuotaExchange::lookFor(const TenantName& tenant, const WaitingStatements& waiting,
-                                    TimePoint usedAt, TimePoint now) {
+QuotaDecision QuotaExchange::lookFor(const TenantName& tenant, const QueuedStatements& waiting,
+                                     TimePoint usedAt, TimePoint now) {
     Account& account = _accounts[tenant];
-    WaitingStatements counted = waiting;
+    QueuedStatements counted = waiting;
     counted.rank = _ranks.ranksDiffer ? waiting.rank : 0;
     RankAccount& ranked = account.ranks[counted.rank];
-    giveUpLate(tenant, ranked, now);
-    if (!ranked.asked) {
-        const Wish wish = wishOf(tenant, account, counted, usedAt, now);
-        if (wish.units.units() > 0) {
-            ask(tenant, account, wish, now);
+    abandonTimedOutRequest(tenant, ranked, now);
+    if (!ranked.pending) {
+        const RequestPlan plan = planRequest(tenant, account, counted, usedAt, now);
+        if (plan.units.units() > 0) {
+            ask(tenant, account, plan, now);
         }
     }
-    return prospectOf(ranked, now);
+    return decisionWithoutUnit(ranked, now);
 }
 
 void QuotaExchange::beginLeaving() {
--- a/src/tenancy/QuotaExchange.h
+++ b/src/tenancy/QuotaExchange.h
@@ -39,15 +39,15 @@
 };
 
 /** Statements of one tenant and rank that are queued for a unit at this node. */
-struct WaitingStatements {
+struct QueuedStatements {
     std::uint32_t count = 1;
     std::uint32_t rank = 0;
     /** Number of these statements that can use a unit only immediately, not later. */
-    std::uint32_t nowOnly = 0;
+    std::uint32_t immediateOnly = 0;
 };
 
 /** Result of a request for a unit. */
-struct QuotaVerdict {
+struct QuotaDecision {
     enum class Kind {
         Granted,
         Waiting, /**< A response is pending; `retryAfter` is the longest time to wait for it. */
@@ -86,14 +86,14 @@
      * Takes one unit of the tenant if one is available.
      * @param waiting all queued statements, including the one that the unit is for.
      */
-    QuotaVerdict take(const TenantName& tenant, const WaitingStatements& waiting);
+    QuotaDecision take(const TenantName& tenant, const QueuedStatements& waiting);
 
     /**
      * Requests units as `take` does, but takes none.
      * @return Granted if there are as many units as queued statements and they stay usable for a
      * moment.
      */
-    QuotaVerdict look(const TenantName& tenant, const WaitingStatements& waiting);
+    QuotaDecision look(const TenantName& tenant, const QueuedStatements& waiting);
 
     /**
      * Takes a unit that this node holds; `look` must have found it in the same iteration of the
@@ -125,7 +125,7 @@
 
 private:
     /** A request that was sent and whose response is pending. */
-    struct Asked {
+    struct PendingRequest {
         std::uint64_t number = 0;
         TimePoint at{};
         std::uint32_t rank = 0;
@@ -135,27 +135,27 @@
          */
         std::uint32_t waiting = 0;
         /** Requested units that can be used only immediately. */
-        std::uint32_t nowOnly = 0;
+        std::uint32_t immediateOnly = 0;
     };
     /**
      * Units to request, and how many of them statements are queued for, now or until their turn.
      */
-    struct Wish {
-        RankedWish units;
+    struct RequestPlan {
+        RankedRequest units;
         std::uint32_t waiting = 0;
     };
     /** This node's state for one rank of a tenant. */
     struct RankAccount {
-        std::optional<Asked> asked;
+        std::optional<PendingRequest> pending;
         /** Time since which no request has been answered. */
         std::optional<TimePoint> unansweredSince;
         TimePoint lastAskedAt{};
         /** No units are available: the leader is not asked again before this time. */
         TimePoint notBefore{};
         /** The same for units that can be used only immediately. */
-        TimePoint nowNotBefore{};
+        TimePoint immediateNotBefore{};
         /** Time at which a refused caller should retry. */
-        TimePoint comeBackAt{};
+        TimePoint retryAt{};
         /** Times at which deferred units will be available, one entry per unit. */
         std::multiset<TimePoint> turns;
     };
@@ -169,24 +169,24 @@
     };
 
     Duration usableFor(const TenantName& tenant, const Account& account) const;
-    Wish wishOf(const TenantName& tenant, Account& account, const WaitingStatements& waiting,
-                TimePoint usedAt, TimePoint now) const;
-    void ask(const TenantName& tenant, Account& account, const Wish& wish, TimePoint now);
-    void giveUpLate(const TenantName& tenant, RankAccount& account, TimePoint now);
-    void noteMissing(RankAccount& account, const Asked& asked, const QuotaAnswer& answer,
+    RequestPlan planRequest(const TenantName& tenant, Account& account,
+                            const QueuedStatements& waiting, TimePoint usedAt, TimePoint now) const;
+    void ask(const TenantName& tenant, Account& account, const RequestPlan& plan, TimePoint now);
+    void abandonTimedOutRequest(const TenantName& tenant, RankAccount& account, TimePoint now);
+    void noteMissing(RankAccount& account, const PendingRequest& pending, const QuotaAnswer& answer,
                      TimePoint now);
-    QuotaVerdict lookFor(const TenantName& tenant, const WaitingStatements& waiting,
-                         TimePoint usedAt, TimePoint now);
-    static QuotaVerdict prospectOf(const RankAccount& account, TimePoint now);
+    QuotaDecision lookFor(const TenantName& tenant, const QueuedStatements& waiting,
+                          TimePoint usedAt, TimePoint now);
+    static QuotaDecision decisionWithoutUnit(const RankAccount& account, TimePoint now);
     std::optional<NodeName> remoteTarget(std::uint32_t shard, TimePoint now);
     bool isUsable(const NodeName& node) const;
-    void noteSilence(std::uint32_t shard, TimePoint now);
+    void markLeaderUnresponsive(std::uint32_t shard, TimePoint now);
     void probe(std::uint32_t shard);
     void onProbed(std::uint32_t shard, const QuotaAnswer& answer);
     void send(std::uint32_t shard, const QuotaQuestion& question, QuotaReply reply);
-    static void noteAnswered(RankAccount& account, const Asked& asked);
-    void onAnswer(const TenantName& tenant, const Asked& asked, const QuotaQuestion& question,
-                  const QuotaAnswer& answer);
+    static void noteAnswered(RankAccount& account, const PendingRequest& pending);
+    void onAnswer(const TenantName& tenant, const PendingRequest& pending,
+                  const QuotaQuestion& question, const QuotaAnswer& answer);
     QuotaShard& shardOf(std::uint32_t shard);
     const std::vector<pooling::ProxyNode>& orderOf(std::uint32_t shard);
 
@@ -204,7 +204,7 @@
     std::map<std::uint32_t, NodeName> _leaders;
     std::map<std::uint32_t, NodeName> _standbys;
     /** Nodes that recently declined or failed to answer, and when they did so. */
-    std::map<NodeName, TimePoint> _unhelpful;
+    std::map<NodeName, TimePoint> _unavailableSince;
     /**
      * By shard with an unanswered request: when its leader becomes suspected of being unreachable.
      */
--- a/src/tenancy/QuotaLease.cpp
+++ b/src/tenancy/QuotaLease.cpp
@@ -14,7 +14,7 @@
  * Maximum number of ended batches kept to be reported to the leader. The leader gets no report of
  * others, and counts all their units until they expire.
  */
-constexpr std::size_t kMostEnded = 32;
+constexpr std::size_t kMaxEndedBatches = 32;
 
 }  // namespace
 
@@ -33,7 +33,7 @@
 void QuotaLease::end(const Batch& batch) {
     _unused += batch.left;
     _ended.push_back(batch);
-    if (_ended.size() > kMostEnded) {
+    if (_ended.size() > kMaxEndedBatches) {
         _ended.pop_front();
     }
 }
@@ -58,8 +58,8 @@
         end(batch);
         _batches.pop_front();
     }
-    const double fading = std::exp(-(Seconds(now - _ratedAt) / Seconds(kRateSpan)));
-    _rate = _rate * fading + 1 / Seconds(kRateSpan).count();
+    const double decay = std::exp(-(Seconds(now - _ratedAt) / Seconds(kRateSpan)));
+    _rate = _rate * decay + 1 / Seconds(kRateSpan).count();
     _ratedAt = now;
     return true;
 }
@@ -82,8 +82,8 @@
 }
 
 std::uint32_t QuotaLease::unitsAhead(Duration span, TimePoint now) const {
-    const double fading = std::exp(-(Seconds(now - _ratedAt) / Seconds(kRateSpan)));
-    return static_cast<std::uint32_t>(std::floor(_rate * fading * Seconds(span).count()));
+    const double decay = std::exp(-(Seconds(now - _ratedAt) / Seconds(kRateSpan)));
+    return static_cast<std::uint32_t>(std::floor(_rate * decay * Seconds(span).count()));
 }
 
 std::vector<BatchSettlement> QuotaLease::settlements(TimePoint now) const {
@@ -94,8 +94,8 @@
     return result;
 }
 
-void QuotaLease::forget(const std::vector<BatchSettlement>& told) {
-    for (const BatchSettlement& settlement : told) {
+void QuotaLease::forget(const std::vector<BatchSettlement>& reported) {
+    for (const BatchSettlement& settlement : reported) {
         std::erase_if(_ended,
                       [&settlement](const Batch& batch) { return batch.id == settlement.batch; });
     }
--- a/src/tenancy/QuotaLease.h
+++ b/src/tenancy/QuotaLease.h
@@ -49,7 +49,7 @@
     std::vector<BatchSettlement> settlements(TimePoint now) const;
 
     /** Removes settlements that have been reported to the leader. */
-    void forget(const std::vector<BatchSettlement>& told);
+    void forget(const std::vector<BatchSettlement>& reported);
 
     /** @return the number of units that expired unused since the last call. */
     std::uint32_t takeUnused() { return std::exchange(_unused, 0); }
--- a/src/tenancy/RankTerms.cpp
+++ b/src/tenancy/RankTerms.cpp
@@ -15,13 +15,13 @@
  * Maximum wait as a fraction of the service's timeout, because a service may have an objective
  * longer than its timeout.
  */
-constexpr double kMostOfTimeout = 0.5;
+constexpr double kMaxTimeoutShare = 0.5;
 
-Duration patienceOf(const settings::ServiceSettings& service) {
+Duration maxTurnWaitOf(const settings::ServiceSettings& service) {
     const auto inTime =
         std::chrono::duration_cast<Duration>(service.latencyObjective * kWaitingShare);
     const auto most =
-        std::chrono::duration_cast<Duration>(service.statementTimeout * kMostOfTimeout);
+        std::chrono::duration_cast<Duration>(service.statementTimeout * kMaxTimeoutShare);
     return std::min(inTime, most);
 }
 
@@ -36,13 +36,14 @@
     std::set<std::uint32_t> ranks;
     for (const auto& [name, entry] : catalog.services) {
         const std::uint32_t rank = rankOf(entry.settings);
-        const Duration patience = patienceOf(entry.settings);
+        const Duration maxTurnWait = maxTurnWaitOf(entry.settings);
         const bool added = ranks.insert(rank).second;
-        terms.patience[rank] = added ? patience : std::min(terms.patience[rank], patience);
+        terms.maxTurnWait[rank] =
+            added ? maxTurnWait : std::min(terms.maxTurnWait[rank], maxTurnWait);
     }
     terms.ranksDiffer = ranks.size() > 1;
     if (!terms.ranksDiffer) {
-        terms.patience = {};
+        terms.maxTurnWait = {};
     }
     return terms;
 }
--- a/src/tenancy/RankTerms.h
+++ b/src/tenancy/RankTerms.h
@@ -32,7 +32,7 @@
      * Longest wait after which a statement of the rank can still meet its objective; 0 if all
      * services have the same rank.
      */
-    std::array<Duration, settings::kAdmissionRanks> patience{};
+    std::array<Duration, settings::kAdmissionRanks> maxTurnWait{};
 
     static RankTerms of(const pooling::ServiceCatalog& catalog);
 
--- a/src/tenancy/ShardLeader.cpp
+++ b/src/tenancy/ShardLeader.cpp
@@ -22,14 +22,14 @@
 constexpr double kAllowanceLow = 0.3;
 
 /** @return what the question wants, the most urgent rank first. */
-std::vector<RankedWish> wishesOf(const QuotaQuestion& question) {
+std::vector<RankedRequest> wishesOf(const QuotaQuestion& question) {
     const auto wanted = [&question](std::size_t index) {
         return index < question.wantedByRank.size() ? question.wantedByRank[index] : 0;
     };
-    std::vector<RankedWish> wishes;
+    std::vector<RankedRequest> wishes;
     for (std::uint32_t rank = 0; rank < settings::kAdmissionRanks; ++rank) {
-        const RankedWish wish{rank, wanted(rank), wanted(settings::kAdmissionRanks + rank),
-                              wanted(2 * settings::kAdmissionRanks + rank)};
+        const RankedRequest wish{rank, wanted(rank), wanted(settings::kAdmissionRanks + rank),
+                                 wanted(2 * settings::kAdmissionRanks + rank)};
         if (wish.units() > 0) {
             wishes.push_back(wish);
         }
@@ -161,12 +161,12 @@
     // After a loss of the leader the bound leaves less than the bucket: the same order holds then.
     const std::uint32_t left = std::min(freeUnits(tenant, now), _allowances.left(tenant.name));
     paced.tokens = std::min<double>(paced.tokens, left);
-    for (const RankedWish& asked : wishesOf(question)) {
+    for (const RankedRequest& asked : wishesOf(question)) {
         const std::uint32_t inTurn = turns.claim(asked.rank, asked.inTurn, now);
         // Who has no turn here, as with a new leader, is a new one.
         const std::uint32_t fresh = asked.fresh + asked.inTurn - inTurn;
-        const RankedWish wish{asked.rank, fresh, inTurn, asked.nowOnly};
-        turns.noteAsked(wish.rank, wish.fresh + wish.nowOnly, now);
+        const RankedRequest wish{asked.rank, fresh, inTurn, asked.immediateOnly};
+        turns.noteDemand(wish.rank, wish.fresh + wish.immediateOnly, now);
         const std::uint32_t most = units - granted.units;
         const std::uint32_t taken = std::min(most, turns.grantable(wish, paced, now));
         granted.units += taken;
@@ -196,15 +196,15 @@
 Duration ShardLeader::putOff(const Tenant& tenant, const RankedGrant& granted, TimePoint now) {
     UnitTurns& turns = _turns[tenant.name];
     std::optional<Duration> first;
-    for (const RankedWish& wish : granted.putOff) {
-        const std::uint32_t before = turns.promisedUpTo(wish.rank, now);
+    for (const RankedRequest& wish : granted.putOff) {
+        const std::uint32_t before = turns.scheduledUpTo(wish.rank, now);
         const Duration paced = turns.untilGranted(wish, _pacers[tenant.name].paced(), now);
         const Duration freed = untilFree(tenant, wish.units() + before, now);
         const Duration until = std::max(paced, freed);
-        const bool isWaitedFor = until <= _context.ranks->patience[wish.rank];
-        const std::uint32_t waiting = isWaitedFor ? wish.units() - wish.nowOnly : 0;
+        const bool isWaitedFor = until <= _context.ranks->maxTurnWait[wish.rank];
+        const std::uint32_t waiting = isWaitedFor ? wish.units() - wish.immediateOnly : 0;
         if (waiting > 0) {
-            turns.promise(wish.rank, waiting, now + until);
+            turns.addTurn(wish.rank, waiting, now + until);
         }
         _context.statistics.putOffByRank[wish.rank] += waiting;
         _context.statistics.turnedAwayByRank[wish.rank] += wish.units() - waiting;
--- a/src/tenancy/ShardLeader.h
+++ b/src/tenancy/ShardLeader.h
@@ -99,7 +99,7 @@
         std::uint32_t units = 0;
         /** Empty where the question names no ranks. */
         std::vector<std::uint32_t> byRank;
-        std::vector<RankedWish> putOff;
+        std::vector<RankedRequest> putOff;
     };
     struct UnacknowledgedGrant {
         QuotaReply reply;
--- a/src/tenancy/TenantGate.cpp
+++ b/src/tenancy/TenantGate.cpp
@@ -22,13 +22,13 @@
  */
 constexpr double kTrustedShare = 0.9;
 /** Retry delay for callers of a node with outdated settings; another node may have newer ones. */
-constexpr Duration kRetryWithOldSettings = std::chrono::milliseconds(500);
+constexpr Duration kRetryWithOutdatedSettings = std::chrono::milliseconds(500);
 
 /**
  * If a session repeats a refused statement within this time, it is treated as a retry of that
  * statement.
  */
-constexpr Duration kReturnsWithin = std::chrono::seconds(2);
+constexpr Duration kRetryMatchWindow = std::chrono::seconds(2);
 /**
  * Allowance added to the longest useful wait, because the leader's response takes up part of a wait
  * that is judged useful when the response arrives.
@@ -44,10 +44,10 @@
  * If a caller has spent more than this fraction of its rank's longest wait before its retry, the
  * statement would be late after the longest wait for a turn.
  */
-constexpr double kMostLost = 0.25;
+constexpr double kMaxElapsedShare = 0.25;
 
-StatementError oldSettings() {
-    return pooling::notRun("settings not confirmed", kRetryWithOldSettings);
+StatementError outdatedSettingsError() {
+    return pooling::notRun("settings not confirmed", kRetryWithOutdatedSettings);
 }
 
 std::int64_t inMilliseconds(Duration span) {
@@ -68,11 +68,11 @@
 
 void TenantGate::applyTenants(std::shared_ptr<const TenantDirectory> tenants) {
     _tenants = std::move(tenants);
-    takeRanks();
+    refreshRanks();
 }
 
 /** Derives the ranks from the pooler's services. */
-void TenantGate::takeRanks() {
+void TenantGate::refreshRanks() {
     const std::shared_ptr<const pooling::ServiceCatalog> catalog = _pooler.catalog();
     if (catalog == _catalog) {
         return;
@@ -102,7 +102,7 @@
             ++(known ? _statistics.refusedCredential : _statistics.refusedOldSettings);
             return {std::nullopt,
                     known ? StatementError{StatementFault::Unauthorized, "unknown credential"}
-                          : oldSettings()};
+                          : outdatedSettingsError()};
         }
         session.tenant = tenant->name;
     }
@@ -118,7 +118,7 @@
     }
     if (!knowsSettings(_clock.now())) {
         ++_statistics.refusedOldSettings;
-        return oldSettings();
+        return outdatedSettingsError();
     }
     return resolve(id, session);
 }
@@ -185,15 +185,15 @@
         return;
     }
     const TenantName tenant = session.tenant;
-    hold(id, session, std::move(statement));
+    enqueue(id, session, std::move(statement));
     admitWaiting(tenant);
 }
 
 /**
  * Queues the statement behind those of its rank that have a turn or whose callers asked earlier.
  */
-void TenantGate::hold(SessionId id, GatedSession& session, Statement statement) {
-    takeRanks();
+void TenantGate::enqueue(SessionId id, GatedSession& session, Statement statement) {
+    refreshRanks();
     const TimePoint now = _clock.now();
     session.firstArrival = now;
     if (session.firstAsking.remembers(now)) {
@@ -235,8 +235,9 @@
 StatementError TenantGate::refuseUnknownService(const ServiceName& service) {
     const Duration age = _clock.now() - _settingsKnownAt();
     const bool known = _applied == Duration(0) || age <= _applied;
-    StatementError error =
-        known ? StatementError{StatementFault::UnknownDatabase, "no such database"} : oldSettings();
+    StatementError error = known
+                               ? StatementError{StatementFault::UnknownDatabase, "no such database"}
+                               : outdatedSettingsError();
     _statistics.refusedOldSettings += known ? 0 : 1;
     LogEvent("session", LogLevel::Warning, "session.refused")
         .field("service", service)
@@ -261,8 +262,8 @@
 /**
  * Logs a refusal by quota, and whether the statement had no turn in time or one that was missed.
  */
-void TenantGate::logTurnedAway(const GatedSession& session, const Statement& statement,
-                               const StatementError& error) const {
+void TenantGate::logQuotaRefusal(const GatedSession& session, const Statement& statement,
+                                 const StatementError& error) const {
     const TimePoint now = _clock.now();
     LogEvent line("tenancy", LogLevel::Warning, "request.refused");
     describeRefusal(line, session, statement, error);
@@ -292,26 +293,26 @@
             return;
         }
         const SessionId id = queue->second.front();
-        const QuotaVerdict verdict = _quotas.take(key.first, waitingIn(key, queue->second));
-        if (verdict.kind == QuotaVerdict::Kind::Waiting) {
-            if (endOverdue(key, verdict)) {
+        const QuotaDecision decision = _quotas.take(key.first, waitingIn(key, queue->second));
+        if (decision.kind == QuotaDecision::Kind::Waiting) {
+            if (refuseOverdue(key, decision)) {
                 continue;
             }
             ++_statistics.waitedForQuota;
             return;
         }
-        if (verdict.kind == QuotaVerdict::Kind::Turn) {
-            if (awaitTurn(key, verdict)) {
+        if (decision.kind == QuotaDecision::Kind::Turn) {
+            if (awaitTurn(key, decision)) {
                 return;
             }
             continue;
         }
         queue->second.pop_front();
         GatedSession& session = _sessions.at(id);
-        if (verdict.kind == QuotaVerdict::Kind::Granted) {
-            passOn(id, session);
+        if (decision.kind == QuotaDecision::Kind::Granted) {
+            submitQueued(id, session);
         } else {
-            turnAway(id, session, verdict.retryAfter);
+            refuseQueued(id, session, decision.retryAfter);
         }
     }
 }
@@ -321,7 +322,7 @@
  */
 TimePoint TenantGate::longestWaitEnd(const GatedSession& session) const {
     return session.waitingSince +
-           std::max(_ranks.patience[session.rank] + kAnswerMargin, kLongestWait);
+           std::max(_ranks.maxTurnWait[session.rank] + kAnswerMargin, kLongestWait);
 }
 
 /**
@@ -330,15 +331,15 @@
  * single late one.
  * @return whether a statement was refused, which changes the queue.
  */
-bool TenantGate::endOverdue(const RankedTenant& key, const QuotaVerdict& verdict) {
+bool TenantGate::refuseOverdue(const RankedTenant& key, const QuotaDecision& decision) {
     const TimePoint now = _clock.now();
     Queue& queue = _waiting.at(key);
-    TimePoint due = now + verdict.retryAfter;
+    TimePoint due = now + decision.retryAfter;
     for (const SessionId id : queue) {
         GatedSession& session = _sessions.at(id);
         if (longestWaitEnd(session) <= now) {
             std::erase(queue, id);
-            turnAway(id, session, verdict.retryAfter);
+            refuseQueued(id, session, decision.retryAfter);
             return true;
         }
         due = std::min(due, longestWaitEnd(session));
@@ -347,13 +348,14 @@
     return false;
 }
 
-WaitingStatements TenantGate::waitingIn(const RankedTenant& key, const Queue& queue) const {
-    WaitingStatements waiting;
+QueuedStatements TenantGate::waitingIn(const RankedTenant& key, const Queue& queue) const {
+    QueuedStatements waiting;
     waiting.count = static_cast<std::uint32_t>(queue.size());
     waiting.rank = key.second;
     for (const SessionId id : queue) {
         const GatedSession& session = _sessions.at(id);
-        waiting.nowOnly += _ranks.ranksDiffer && !session.hasTurn && !mayWait(session) ? 1 : 0;
+        waiting.immediateOnly +=
+            _ranks.ranksDiffer && !session.hasTurn && !mayWait(session) ? 1 : 0;
     }
     return waiting;
 }
@@ -363,42 +365,43 @@
  * its objective.
  */
 bool TenantGate::mayWait(const GatedSession& session) const {
-    const Duration lost = session.waitingSince - session.firstArrival;
-    return lost <= _ranks.patience[session.rank] * kMostLost;
+    const Duration elapsed = session.waitingSince - session.firstArrival;
+    return elapsed <= _ranks.maxTurnWait[session.rank] * kMaxElapsedShare;
 }
 
 /** @return whether a unit that is granted at the given time is still of use to the caller. */
-bool TenantGate::isInUse(const GatedSession& session, TimePoint turn) const {
-    return turn <= session.waitingSince + _ranks.patience[session.rank] + kAnswerMargin;
+bool TenantGate::isUsefulAt(const GatedSession& session, TimePoint turn) const {
+    return turn <= session.waitingSince + _ranks.maxTurnWait[session.rank] + kAnswerMargin;
 }
 
 /** @return a statement that will not get a unit in time, if there is one. */
-std::optional<SessionId> TenantGate::withoutProspect(const Queue& queue,
-                                                     const QuotaVerdict& verdict) const {
+std::optional<SessionId> TenantGate::findUnservable(const Queue& queue,
+                                                    const QuotaDecision& decision) const {
     for (const SessionId id : queue) {
         const GatedSession& session = _sessions.at(id);
         if (!session.hasTurn && !mayWait(session)) {
             return id;
         }
     }
-    if (queue.size() > verdict.turns) {
+    if (queue.size() > decision.turns) {
         return queue.back();
     }
-    const bool isLate = !isInUse(_sessions.at(queue.front()), _clock.now() + verdict.retryAfter);
-    return isLate ? std::optional(queue.front()) : std::nullopt;
+    const bool isTooLate =
+        !isUsefulAt(_sessions.at(queue.front()), _clock.now() + decision.retryAfter);
+    return isTooLate ? std::optional(queue.front()) : std::nullopt;
 }
 
 /**
  * Lets the statements wait for their turns, except one that has none or whose turn comes too late.
  * @return false if such a statement was refused, which changes the queue.
  */
-bool TenantGate::awaitTurn(const RankedTenant& key, const QuotaVerdict& verdict) {
+bool TenantGate::awaitTurn(const RankedTenant& key, const QuotaDecision& decision) {
     Queue& queue = _waiting.at(key);
-    if (const std::optional<SessionId> hopeless = withoutProspect(queue, verdict)) {
-        const bool isLate = queue.size() <= verdict.turns;
-        std::erase(queue, *hopeless);
-        turnAway(*hopeless, _sessions.at(*hopeless),
-                 isLate ? verdict.retryAfter : verdict.othersAfter);
+    if (const std::optional<SessionId> unservable = findUnservable(queue, decision)) {
+        const bool isTooLate = queue.size() <= decision.turns;
+        std::erase(queue, *unservable);
+        refuseQueued(*unservable, _sessions.at(*unservable),
+                     isTooLate ? decision.retryAfter : decision.othersAfter);
         return false;
     }
     for (const SessionId id : queue) {
@@ -406,26 +409,26 @@
         _statistics.waitedForTurnByRank[key.second] += session.hasTurn ? 0 : 1;
         session.hasTurn = true;
     }
-    _due[key] = _clock.now() + verdict.retryAfter;
+    _due[key] = _clock.now() + decision.retryAfter;
     return true;
 }
 
 /** Passes the session's queued statement to the pooler. */
-void TenantGate::passOn(SessionId id, GatedSession& session) {
+void TenantGate::submitQueued(SessionId id, GatedSession& session) {
     _statistics.turnsKeptByRank[session.rank] += session.hasTurn ? 1 : 0;
     _pooler.submit(id, *std::exchange(session.waiting, std::nullopt));
 }
 
 /** Refuses the session's queued statement. */
-void TenantGate::turnAway(SessionId id, GatedSession& session, Duration retryAfter) {
+void TenantGate::refuseQueued(SessionId id, GatedSession& session, Duration retryAfter) {
     const Statement statement = *std::exchange(session.waiting, std::nullopt);
     const Duration asked = _clock.now() - session.firstArrival;
     session.firstAsking.noteRefused(contentHash(statement), session.firstArrival,
-                                    asked + kReturnsWithin);
+                                    asked + kRetryMatchWindow);
     ++_statistics.refusedQuota;
     ++_statistics.refusedQuotaByRank[session.rank];
     const StatementError error = pooling::notRun("quota of the tenant is used up", retryAfter);
-    logTurnedAway(session, statement, error);
+    logQuotaRefusal(session, statement, error);
     _pooler.refuse(id, statement, error);
 }
 
--- a/src/tenancy/TenantGate.h
+++ b/src/tenancy/TenantGate.h
@@ -129,26 +129,27 @@
     std::optional<pooling::StatementError> checkAccess(SessionId id, GatedSession& session);
     std::optional<pooling::StatementError> resolve(SessionId id, GatedSession& session);
     bool beginsUnit(SessionId id, const pooling::Statement& statement) const;
-    void takeRanks();
-    void hold(SessionId id, GatedSession& session, pooling::Statement statement);
+    void refreshRanks();
+    void enqueue(SessionId id, GatedSession& session, pooling::Statement statement);
     void leaveQueue(SessionId id, const GatedSession& session);
     void admitWaiting(const TenantName& tenant);
     void admitRank(const RankedTenant& key);
-    bool awaitTurn(const RankedTenant& key, const QuotaVerdict& verdict);
+    bool awaitTurn(const RankedTenant& key, const QuotaDecision& decision);
     bool mayWait(const GatedSession& session) const;
-    bool isInUse(const GatedSession& session, TimePoint turn) const;
+    bool isUsefulAt(const GatedSession& session, TimePoint turn) const;
     TimePoint longestWaitEnd(const GatedSession& session) const;
-    bool endOverdue(const RankedTenant& key, const QuotaVerdict& verdict);
-    WaitingStatements waitingIn(const RankedTenant& key, const Queue& queue) const;
-    std::optional<SessionId> withoutProspect(const Queue& queue, const QuotaVerdict& verdict) const;
-    void passOn(SessionId id, GatedSession& session);
-    void turnAway(SessionId id, GatedSession& session, Duration retryAfter);
+    bool refuseOverdue(const RankedTenant& key, const QuotaDecision& decision);
+    QueuedStatements waitingIn(const RankedTenant& key, const Queue& queue) const;
+    std::optional<SessionId> findUnservable(const Queue& queue,
+                                            const QuotaDecision& decision) const;
+    void submitQueued(SessionId id, GatedSession& session);
+    void refuseQueued(SessionId id, GatedSession& session, Duration retryAfter);
     pooling::StatementError refuseUnknownService(const ServiceName& service);
     void describeRefusal(LogEvent& line, const GatedSession& session,
                          const pooling::Statement& statement,
                          const pooling::StatementError& error) const;
-    void logTurnedAway(const GatedSession& session, const pooling::Statement& statement,
-                       const pooling::StatementError& error) const;
+    void logQuotaRefusal(const GatedSession& session, const pooling::Statement& statement,
+                         const pooling::StatementError& error) const;
     void refuse(SessionId id, const GatedSession& session, const pooling::Statement& statement,
                 pooling::StatementError error);
 
--- a/src/tenancy/UnitTurns.h
+++ b/src/tenancy/UnitTurns.h
@@ -21,22 +21,22 @@
 };
 
 /** Units of one rank that a request asks for. */
-struct RankedWish {
+struct RankedRequest {
     std::uint32_t rank = 0;
     /** Units that may be deferred to a turn. */
     std::uint32_t fresh = 0;
     /** Units whose turn has come. */
     std::uint32_t inTurn = 0;
     /** Units that are of no use later, because their callers were refused before. */
-    std::uint32_t nowOnly = 0;
+    std::uint32_t immediateOnly = 0;
 
-    std::uint32_t units() const { return fresh + inTurn + nowOnly; }
+    std::uint32_t units() const { return fresh + inTurn + immediateOnly; }
 
     /**
      * @return the remaining request after the given number of units is granted, units in turn
      * first.
      */
-    RankedWish without(std::uint32_t granted) const;
+    RankedRequest without(std::uint32_t granted) const;
 };
 
 /**
@@ -53,7 +53,7 @@
 class UnitTurns {
 public:
     /** Records demand for units of the rank that have no turn yet. */
-    void noteAsked(std::uint32_t rank, std::uint32_t units, TimePoint now);
+    void noteDemand(std::uint32_t rank, std::uint32_t units, TimePoint now);
 
     /**
      * Claims units whose turn has come.
@@ -62,16 +62,16 @@
     std::uint32_t claim(std::uint32_t rank, std::uint32_t units, TimePoint now);
 
     /** @return the number of units that the request may take from the bucket. */
-    std::uint32_t grantable(const RankedWish& wish, const PacedUnits& paced, TimePoint now);
+    std::uint32_t grantable(const RankedRequest& request, const PacedUnits& paced, TimePoint now);
 
     /** @return the time after which the deferred part of the request will be available. */
-    Duration untilGranted(const RankedWish& putOff, const PacedUnits& paced, TimePoint now);
+    Duration untilGranted(const RankedRequest& putOff, const PacedUnits& paced, TimePoint now);
 
     /** Gives the units a turn at the given time. */
-    void promise(std::uint32_t rank, std::uint32_t units, TimePoint due);
+    void addTurn(std::uint32_t rank, std::uint32_t units, TimePoint due);
 
     /** @return the number of units of this rank and more urgent ones that have a turn. */
-    std::uint32_t promisedUpTo(std::uint32_t rank, TimePoint now);
+    std::uint32_t scheduledUpTo(std::uint32_t rank, TimePoint now);
 
 private:
     struct Turn {
@@ -85,9 +85,9 @@
 
     void expire(TimePoint now);
     double demandBefore(std::uint32_t rank, TimePoint now) const;
-    double keptFrom(std::uint32_t rank, const PacedUnits& paced, TimePoint now) const;
+    double reservedUnits(std::uint32_t rank, const PacedUnits& paced, TimePoint now) const;
     std::uint32_t dueBefore(std::uint32_t rank, TimePoint now);
-    double ahead(const RankedWish& wish, const PacedUnits& paced, TimePoint now);
+    double ahead(const RankedRequest& request, const PacedUnits& paced, TimePoint now);
 
     std::array<Demand, settings::kAdmissionRanks> _demand{};
     /** Ordered by due time, earliest first. */
--- a/tests/tenancy/GatedNode.cpp
+++ b/tests/tenancy/GatedNode.cpp
@@ -97,7 +97,7 @@
         return;
     }
     ++served.refusals;
-    served.toldAtOnce += result.error->retryAfter <= milliseconds(1) ? 1 : 0;
+    served.immediateRetries += result.error->retryAfter <= milliseconds(1) ? 1 : 0;
     if (caller.tries == kTries) {
         caller.isDone = true;
         ++served.refused;
--- a/tests/tenancy/GatedNode.h
+++ b/tests/tenancy/GatedNode.h
@@ -31,7 +31,7 @@
         std::size_t refused = 0;
         /** Refused attempts, and those of them with a retry delay of 1 ms or less. */
         std::size_t refusals = 0;
-        std::size_t toldAtOnce = 0;
+        std::size_t immediateRetries = 0;
     };
     std::array<Rank, kSimulatedRanks> ranks{};
 };
--- a/tests/tenancy/QuotaBoundTest.cpp
+++ b/tests/tenancy/QuotaBoundTest.cpp
@@ -36,7 +36,7 @@
  * Minimum fraction of the statements of a tenant with low load that must run once all faults have
  * ended.
  */
-constexpr double kLeastServed = 0.97;
+constexpr double kMinServedShare = 0.97;
 
 unsigned fromEnvironment(const char* name, unsigned otherwise) {
     const char* text = std::getenv(name);
@@ -177,7 +177,7 @@
                       std::to_string(run.network.busiestWindow()) + " units of " +
                       std::to_string(run.bound()) + ": " + run.faults.story() + "\n";
         }
-        if (served < kLeastServed && kind == QuotaKind::RateAndBurst) {
+        if (served < kMinServedShare && kind == QuotaKind::RateAndBurst) {
             broken += "seed " + std::to_string(seed) + ": served " + std::to_string(served) +
                       " once calm: " + run.faults.story() + "\n";
         }
@@ -190,7 +190,7 @@
     STRCMP_EQUAL("", brokenBySeeds(seeds, nullptr).c_str());
 }
 
-TEST(QuotaBound, HoldsWithCallersOfThreeRanksWhoWaitForTheirTurnComeBackAndLeave) {
+TEST(QuotaBound, HoldsWithCallersOfThreeRanksThatWaitRetryAndDisconnect) {
     const unsigned seeds = fromEnvironment("CORALHOIST_QUOTA_SEEDS", kRankedSeeds);
     STRCMP_EQUAL("", brokenBySeeds(seeds, threeRanks()).c_str());
 }
@@ -206,7 +206,7 @@
         "", brokenBySeeds(seeds, nullptr, StoreReturns::None, QuotaKind::MostInSecond).c_str());
 }
 
-TEST(QuotaBound, HoldsInEachSecondWhenTheStoreReturnsOlder) {
+TEST(QuotaBound, HoldsInEachSecondWhenTheStoreIsRestoredToAnOlderState) {
     const unsigned seeds = fromEnvironment("CORALHOIST_QUOTA_SEEDS", kSeeds);
     STRCMP_EQUAL(
         "", brokenBySeeds(seeds, nullptr, StoreReturns::Some, QuotaKind::MostInSecond).c_str());
--- a/tests/tenancy/QuotaDeputyTest.cpp
+++ b/tests/tenancy/QuotaDeputyTest.cpp
@@ -164,8 +164,8 @@
         Served served;
         for (std::size_t node = 0; node < kNodes; ++node) {
             if ((isFirst(node) == _leadsFirst) == ofLeader) {
-                served.ran += network.judgedAt(node).ran;
-                served.refused += network.judgedAt(node).refused;
+                served.ran += network.outcomeAt(node).ran;
+                served.refused += network.outcomeAt(node).refused;
             }
         }
         return served;
--- a/tests/tenancy/QuotaExchangeTest.cpp
+++ b/tests/tenancy/QuotaExchangeTest.cpp
@@ -88,20 +88,20 @@
     CHECK_TRUE(play(20, 10) > 185);
 }
 
-TEST(ShortWindow, AUnitThatEndsTooSoonIsReplacedAtOnce) {
+TEST(ShortWindow, AUnitThatExpiresTooSoonIsReplacedImmediately) {
     play(2, 0);
     int steps = 0;
-    while (network.look(0, 1).kind != QuotaVerdict::Kind::Granted && ++steps < 2000) {
+    while (network.look(0, 1).kind != QuotaDecision::Kind::Granted && ++steps < 2000) {
         network.step();
     }
     CHECK_TRUE(steps < 2000);
-    while (network.look(0, 1).kind == QuotaVerdict::Kind::Granted) {
+    while (network.look(0, 1).kind == QuotaDecision::Kind::Granted) {
         network.step();
     }
-    CHECK_TRUE(network.look(0, 1).kind == QuotaVerdict::Kind::Waiting);
+    CHECK_TRUE(network.look(0, 1).kind == QuotaDecision::Kind::Waiting);
 }
 
-TEST(ShortWindow, UnitsThatAreLookedForAndThenTakenStayWithinTheBoundThroughCutsAndRestarts) {
+TEST(ShortWindow, UnitsTakenAfterALookStayWithinTheBoundDuringPartitionsAndRestarts) {
     for (int round = 0; round < 40; ++round) {
         network.cut(round % 3 == 0 ? std::set<std::size_t>{random() % kNodes, random() % kNodes}
                                    : std::set<std::size_t>{});
@@ -110,7 +110,7 @@
             network.step();
             const std::size_t node = random() % kNodes;
             const std::uint32_t count = 1 + random() % 2;
-            if (network.look(node, count).kind == QuotaVerdict::Kind::Granted) {
+            if (network.look(node, count).kind == QuotaDecision::Kind::Granted) {
                 network.takeHeld(node);
             }
         }
@@ -141,7 +141,7 @@
     CHECK_TRUE(network.busiestWindow() <= kBound);
 }
 
-TEST(QuotaExchange, WhileTheStoreIsDownATenantGoesOnAsBefore) {
+TEST(QuotaExchange, TenantStatementsRunWhileTheStoreIsDown) {
     play(5000, 100);
     network.setStoreDown(true);
     CHECK_TRUE(play(4500, 100) > 360);
--- a/tests/tenancy/QuotaFloodTest.cpp
+++ b/tests/tenancy/QuotaFloodTest.cpp
@@ -88,11 +88,11 @@
 
 TEST_GROUP(QuotaFlood){};
 
-TEST(QuotaFlood, UnitsThatComeBackLateDoNotAddToTheBound) {
+TEST(QuotaFlood, UnitsReturnedLateAreNotGrantedASecondTime) {
     STRCMP_EQUAL("", exceededWithAnswersAfter(milliseconds(1)).c_str());
 }
 
-TEST(QuotaFlood, ALateAnswerIsNoMissingAccount) {
+TEST(QuotaFlood, ALateResponseIsNotTreatedAsAMissingAccountingNode) {
     STRCMP_EQUAL("", exceededWithAnswersAfter(milliseconds(300)).c_str());
 }
 
--- a/tests/tenancy/QuotaNetwork.cpp
+++ b/tests/tenancy/QuotaNetwork.cpp
@@ -65,7 +65,7 @@
     }
 
     void start() {
-        ++life;
+        ++incarnation;
         running = true;
         frozen = false;
         leaving = false;
@@ -76,23 +76,24 @@
         _era = std::make_unique<StoreEra>(_network._clock);
         noteEra(_network._store.era());
         exchange = std::make_unique<QuotaExchange>(
-            QuotaDependencies{_network._clock,
-                              *this,
-                              *this,
-                              *this,
-                              *_era,
-                              {nameOf(_index), nameOf(_index).value() + "/" + std::to_string(life)},
-                              ZoneName("z" + std::to_string(_index % 3)),
-                              [this](const TenantName& tenant) {
-                                  if (gate) {
-                                      gate->gate().onQuotaChange(tenant);
-                                  }
-                              }},
+            QuotaDependencies{
+                _network._clock,
+                *this,
+                *this,
+                *this,
+                *_era,
+                {nameOf(_index), nameOf(_index).value() + "/" + std::to_string(incarnation)},
+                ZoneName("z" + std::to_string(_index % 3)),
+                [this](const TenantName& tenant) {
+                    if (gate) {
+                        gate->gate().onQuotaChange(tenant);
+                    }
+                }},
             _network._terms);
         applyNodes();
         applyQuota();
         if (_network._catalog) {
-            const auto seed = static_cast<unsigned>(_index + 1000 * life);
+            const auto seed = static_cast<unsigned>(_index + 1000 * incarnation);
             gate = std::make_unique<GatedNode>(_network._clock, *exchange, _network._served,
                                                _network._runs, tenants(), _network._catalog, seed);
         }
@@ -214,7 +215,7 @@
         std::set<std::size_t> lost;
         for (const auto& [number, packet] : _unanswered) {
             const Node& other = *_network._nodes[packet.to];
-            const bool refused = !other.running || other.life != packet.targetLife;
+            const bool refused = !other.running || other.incarnation != packet.targetIncarnation;
             const bool silent = !_network.isConnected(_index, packet.to) || other.frozen;
             if (refused || (silent && now - _sentAt[number] >= kLinkTimeout)) {
                 lost.insert(packet.to);
@@ -245,7 +246,7 @@
     std::unique_ptr<QuotaExchange> exchange;
     std::unique_ptr<GatedNode> gate;
     std::set<std::size_t> listed;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     bool running = false;
     bool frozen = false;
     bool leaving = false;
@@ -260,8 +261,8 @@
         packet.from = _index;
         packet.to = _network.indexOf(node);
         packet.number = number;
-        packet.life = life;
-        packet.targetLife = _network._nodes[packet.to]->life;
+        packet.incarnation = incarnation;
+        packet.targetIncarnation = _network._nodes[packet.to]->incarnation;
         return packet;
     }
 
@@ -272,7 +273,7 @@
         packet.from = _index;
         packet.to = asked.from;
         packet.number = asked.number;
-        packet.life = asked.life;
+        packet.incarnation = asked.incarnation;
         return packet;
     }
 
@@ -311,16 +312,17 @@
      */
     template <typename Answer>
     std::function<void(const Answer&)> whileAlive(std::function<void(const Answer&)> callback) {
-        return [this, calledIn = life, callback = std::move(callback)](const Answer& answer) {
-            if (calledIn != life || !running) {
-                return;
-            }
-            if (frozen) {
-                unreadStore.push_back([callback, answer] { callback(answer); });
-                return;
-            }
-            callback(answer);
-        };
+        return
+            [this, calledIn = incarnation, callback = std::move(callback)](const Answer& answer) {
+                if (calledIn != incarnation || !running) {
+                    return;
+                }
+                if (frozen) {
+                    unreadStore.push_back([callback, answer] { callback(answer); });
+                    return;
+                }
+                callback(answer);
+            };
     }
 
     friend class QuotaNetwork;
@@ -517,10 +519,10 @@
     Node& node = *_nodes[packet.to];
     const bool isAnswer = packet.kind == Packet::Kind::Answer || packet.kind == Packet::Kind::Ack;
     if (!isAnswer) {
-        if (packet.targetLife == node.life) {
+        if (packet.targetIncarnation == node.incarnation) {
             node.onQuestion(packet);
         }
-    } else if (packet.life == node.life) {
+    } else if (packet.incarnation == node.incarnation) {
         node.onAnswer(packet);
     }
 }
@@ -531,8 +533,8 @@
     }
 }
 
-QuotaVerdict QuotaNetwork::look(std::size_t node, std::uint32_t count) {
-    WaitingStatements waiting;
+QuotaDecision QuotaNetwork::look(std::size_t node, std::uint32_t count) {
+    QueuedStatements waiting;
     waiting.count = count;
     return _nodes[node]->exchange->look(kTenant, waiting);
 }
@@ -580,24 +582,24 @@
         return;
     }
     switch (node.exchange->take(kTenant, {}).kind) {
-        case QuotaVerdict::Kind::Granted:
+        case QuotaDecision::Kind::Granted:
             _runs.push_back(_clock.now());
-            ++_judged[index].ran;
+            ++_outcomes[index].ran;
             return;
-        case QuotaVerdict::Kind::Waiting:
-        case QuotaVerdict::Kind::Turn:
+        case QuotaDecision::Kind::Waiting:
+        case QuotaDecision::Kind::Turn:
             _waiting.push_back(index);
             return;
-        case QuotaVerdict::Kind::Refused:
+        case QuotaDecision::Kind::Refused:
             ++_refused;
-            ++_judged[index].refused;
+            ++_outcomes[index].refused;
             return;
     }
 }
 
-QuotaNetwork::Judged QuotaNetwork::judgedAt(std::size_t node) const {
-    const auto found = _judged.find(node);
-    return found == _judged.end() ? Judged{} : found->second;
+QuotaNetwork::NodeOutcome QuotaNetwork::outcomeAt(std::size_t node) const {
+    const auto found = _outcomes.find(node);
+    return found == _outcomes.end() ? NodeOutcome{} : found->second;
 }
 
 std::size_t QuotaNetwork::busiestWindow() const {
--- a/tests/tenancy/QuotaNetwork.h
+++ b/tests/tenancy/QuotaNetwork.h
@@ -37,7 +37,7 @@
     void submit(std::size_t node);
 
     /** Checks for the given number of units at a node without taking them. */
-    QuotaVerdict look(std::size_t node, std::uint32_t count);
+    QuotaDecision look(std::size_t node, std::uint32_t count);
     /** Takes a unit that `look` has found. */
     void takeHeld(std::size_t node);
 
@@ -103,11 +103,11 @@
     std::size_t runCount() const { return _runs.size(); }
     std::size_t refusedCount() const { return _refused; }
     /** Numbers of statements that ran or were refused at a node. */
-    struct Judged {
+    struct NodeOutcome {
         std::size_t ran = 0;
         std::size_t refused = 0;
     };
-    Judged judgedAt(std::size_t node) const;
+    NodeOutcome outcomeAt(std::size_t node) const;
     /** @return the number of nodes that consider themselves leader of the tenant's shard. */
     std::vector<std::size_t> leaders() const;
     /** @return the number of nodes that consider themselves deputies of the leader. */
@@ -129,9 +129,9 @@
         LedgerUpdate update;
         LedgerAck ack;
         /** Incarnation of the node that sent the request. */
-        std::uint64_t life = 0;
+        std::uint64_t incarnation = 0;
         /** Incarnation of the node to which a request or update was sent. */
-        std::uint64_t targetLife = 0;
+        std::uint64_t targetIncarnation = 0;
     };
 
     bool isConnected(std::size_t left, std::size_t right) const;
@@ -156,7 +156,7 @@
     CallersServed _served;
     std::vector<TimePoint> _runs;
     std::size_t _refused = 0;
-    std::map<std::size_t, Judged> _judged;
+    std::map<std::size_t, NodeOutcome> _outcomes;
     /** Nodes at which statements are queued, one entry per statement. */
     std::vector<std::size_t> _waiting;
 };
--- a/tests/tenancy/QuotaOwedTest.cpp
+++ b/tests/tenancy/QuotaOwedTest.cpp
@@ -62,13 +62,13 @@
 
 TEST_GROUP(QuotaOwed){};
 
-TEST(QuotaOwed, BelowItsLimitNothingOfATenantIsRefused) {
+TEST(QuotaOwed, BelowItsLimitNoStatementOfATenantIsRefused) {
     for (const double rate : {13.0, 160.0}) {
         DOUBLES_EQUAL(0, play({rate, rate}, 0.8).refused, 0);
     }
 }
 
-TEST(QuotaOwed, BeyondItsLimitATenantRunsAllThatRateAndBurstAllow) {
+TEST(QuotaOwed, BeyondItsLimitATenantRunsAllUnitsThatRateAndBurstAllow) {
     for (const double rate : {13.0, 160.0}) {
         for (const double times : {1.5, 6.0}) {
             const TenantQuota quota{rate, rate};
--- a/tests/tenancy/QuotaRanksTest.cpp
+++ b/tests/tenancy/QuotaRanksTest.cpp
@@ -83,7 +83,7 @@
         counted.inTime -= before.ranks[rank].inTime;
         counted.refused -= before.ranks[rank].refused;
         counted.refusals -= before.ranks[rank].refusals;
-        counted.toldAtOnce -= before.ranks[rank].toldAtOnce;
+        counted.immediateRetries -= before.ranks[rank].immediateRetries;
     }
     return played;
 }
@@ -97,7 +97,7 @@
 
 TEST_GROUP(QuotaRanks){};
 
-TEST(QuotaRanks, AtSixTimesTheLimitTheMostUrgentRankGetsItsWholeDemand) {
+TEST(QuotaRanks, AtSixTimesTheLimitTheMostUrgentRankGetsItsFullDemand) {
     for (const TenantQuota& quota : {kSmall, kLarge}) {
         const Played played = play(quota, 6, threeRanks());
         CHECK_TRUE(inTime(played.served.ranks[0]) >= 0.98);
@@ -106,7 +106,7 @@
     }
 }
 
-TEST(QuotaRanks, WhatTheMostUrgentDoNotUseGoesToTheOthers) {
+TEST(QuotaRanks, UnitsUnusedByTheMostUrgentRankGoToTheOtherRanks) {
     for (const TenantQuota& quota : {kSmall, kLarge}) {
         const Played played = play(quota, 6, threeRanks());
         const double perSecond = quota.ratePerSecond + quota.burst / 5;
@@ -114,7 +114,7 @@
     }
 }
 
-TEST(QuotaRanks, NineInTenStatementsThatWaitForTheirTurnGetTheirUnit) {
+TEST(QuotaRanks, NineInTenStatementsThatWaitForATurnGetAUnit) {
     for (const double times : {1.5, 6.0}) {
         const Played played = play(kLarge, times, threeRanks());
         const auto waited = static_cast<double>(sum(played.gates.waitedForTurnByRank));
@@ -123,15 +123,15 @@
     }
 }
 
-TEST(QuotaRanks, WhoIsRefusedIsNotToldToComeBackAtOnce) {
+TEST(QuotaRanks, ARefusedCallerIsNotAskedToRetryImmediately) {
     const Played played = play(kLarge, 6, threeRanks());
     for (const CallersServed::Rank& rank : played.served.ranks) {
-        CHECK_TRUE(static_cast<double>(rank.toldAtOnce) <=
+        CHECK_TRUE(static_cast<double>(rank.immediateRetries) <=
                    0.001 * static_cast<double>(rank.refusals));
     }
 }
 
-TEST(QuotaRanks, BelowItsLimitATenantIsServedWhateverTheRank) {
+TEST(QuotaRanks, BelowItsLimitATenantIsServedInEveryRank) {
     for (const TenantQuota& quota : {kSmall, kLarge}) {
         for (const CallersServed::Rank& rank : play(quota, 0.8, threeRanks()).served.ranks) {
             UNSIGNED_LONGS_EQUAL(0, rank.refused);
@@ -139,7 +139,7 @@
     }
 }
 
-TEST(QuotaRanks, WithOneRankNothingWaitsForATurn) {
+TEST(QuotaRanks, WithOneRankNoStatementWaitsForATurn) {
     const Played played = play(kLarge, 6, oneRank());
     UNSIGNED_LONGS_EQUAL(0, sum(played.gates.waitedForTurnByRank));
     UNSIGNED_LONGS_EQUAL(0, sum(played.quotas.putOffByRank));
@@ -166,7 +166,7 @@
  * Turns are not part of the bound: whichever node leads grants the units, and no fewer of them than
  * without turns.
  */
-TEST(QuotaRanks, ALeaderThatIsLostLosesTurnsAndDoublesNothing) {
+TEST(QuotaRanks, LosingALeaderLosesOnlyTurnsAndGrantsNoUnitTwice) {
     const auto without = static_cast<double>(ranWithLostLeaders(oneRank()));
     CHECK_TRUE(static_cast<double>(ranWithLostLeaders(threeRanks())) >= 0.9 * without);
 }
--- a/tests/tenancy/TenantDirectoryTest.cpp
+++ b/tests/tenancy/TenantDirectoryTest.cpp
@@ -29,7 +29,7 @@
     CHECK_TRUE(directory.requiresCredential(ServiceName("closed")));
 }
 
-TEST(TenantDirectory, WhereTenantsAreDefinedButNoneIsLeftNobodyPasses) {
+TEST(TenantDirectory, AnEmptyDefinedDirectoryStillRequiresACredential) {
     const TenantDirectory directory(7, {}, {});
     CHECK_TRUE(directory.requiresCredential(ServiceName("closed")));
 }
--- a/tests/tenancy/TenantGateTest.cpp
+++ b/tests/tenancy/TenantGateTest.cpp
@@ -171,13 +171,13 @@
                         pooling::SuspicionReason /*reason*/) override {}
 };
 
-TEST(TenantGate, AServiceThatIsNotInTheSettingsOpensNoSession) {
+TEST(TenantGate, AnUnknownServiceOpensNoSession) {
     const SessionOpening opening = gate.openSession(ServiceName("other"), "key-a");
     CHECK_FALSE(opening.session.has_value());
     CHECK_TRUE(opening.refusal->fault == StatementFault::UnknownDatabase);
 }
 
-TEST(TenantGate, WithOldSettingsAnUnknownServiceIsNotCalledUnknown) {
+TEST(TenantGate, WithOutdatedSettingsAMissingServiceIsNotReportedAsUnknown) {
     clock.advance(milliseconds(3000));
     CHECK_TRUE(gate.openSession(ServiceName("other"), "key-a").refusal->fault ==
                StatementFault::UnknownDatabase);
@@ -192,7 +192,7 @@
     CHECK_TRUE(opening.refusal->fault == StatementFault::Unauthorized);
 }
 
-TEST(TenantGate, WithOldSettingsAnUnknownCredentialIsNotCalledUnknown) {
+TEST(TenantGate, WithOutdatedSettingsAMissingCredentialIsNotReportedAsUnknown) {
     clock.advance(milliseconds(4501));
     const SessionOpening opening = gate.openSession(ServiceName("db"), "key-c");
     CHECK_TRUE(opening.refusal->fault == StatementFault::Busy);
@@ -257,7 +257,7 @@
     CHECK_TRUE(replies.back().succeeded());
 }
 
-TEST(TenantGate, WhatLiesBeyondTheQuotaIsRefusedAtOnceWithTheTimeToComeBack) {
+TEST(TenantGate, AStatementBeyondTheQuotaIsRefusedAtOnceWithARetryDelay) {
     define(2, {tenant("a", "key-a", 2)});
     const SessionId session = open("key-a");
     // The bound is (rate x window + burst) x (1 + overrun) + slack.
@@ -279,7 +279,7 @@
     CHECK_TRUE(ran >= 28);
 }
 
-TEST(TenantGate, AStatementWaitsForTheAnswerOfTheAccountingNode) {
+TEST(TenantGate, AStatementWaitsForTheResponseOfTheAccountingNode) {
     beginWithAccountingNode();
     CHECK_TRUE(replies.empty());
     quotas.onQuotaAnswer(links.lastQuestion,
@@ -288,7 +288,7 @@
     CHECK_TRUE(replies.back().succeeded());
 }
 
-TEST(TenantGate, AStatementWhoseAccountingNodeDoesNotAnswerEndsInTime) {
+TEST(TenantGate, AStatementIsRefusedInTimeIfTheAccountingNodeDoesNotRespond) {
     beginWithAccountingNode();
     clock.advance(milliseconds(699));
     CHECK_TRUE(*gate.nextTick() > clock.now());
@@ -311,7 +311,7 @@
     LONGS_EQUAL(0, closedSessions);
 }
 
-TEST(TenantGate, AStopRefusesAtOnceWhatWaitsForAUnit) {
+TEST(TenantGate, AShutdownImmediatelyRefusesStatementsQueuedForAUnit) {
     beginWithAccountingNode();
     pooler.finishWork();
     gate.passOnWaiting();
@@ -320,14 +320,14 @@
     LONGS_EQUAL(1, closedSessions);
 }
 
-TEST(TenantGate, AStopRefusesAtOnceWhatWouldWaitForAUnit) {
+TEST(TenantGate, AShutdownImmediatelyRefusesNewStatementsThatNeedAUnit) {
     pooler.finishWork();
     beginWithAccountingNode();
     LONGS_EQUAL(1, replies.size());
     CHECK_TRUE(lastFault() == StatementFault::Busy);
 }
 
-TEST(TenantGate, AStatementThatIsPutOffWaitsForItsTurnAndAsksAgainThen) {
+TEST(TenantGate, ADeferredStatementWaitsForItsTurnAndThenRequestsAgain) {
     defineRanks();
     submit(open("key-a", "urgent"), StatementVerb::Begin);
     UNSIGNED_LONGS_EQUAL(1, wanted(0, 0));
@@ -344,7 +344,7 @@
     UNSIGNED_LONGS_EQUAL(1, gate.statistics().turnsKeptByRank[0]);
 }
 
-TEST(TenantGate, AStatementWhoseTurnComesTooLateIsRefusedAtOnceWithTheTime) {
+TEST(TenantGate, AStatementWhoseTurnIsTooLateIsRefusedAtOnceWithARetryDelay) {
     defineRanks();
     submit(open("key-a", "urgent"), StatementVerb::Begin);
     answer(0, milliseconds(101));
@@ -356,7 +356,7 @@
     UNSIGNED_LONGS_EQUAL(1, gate.statistics().refusedQuotaByRank[0]);
 }
 
-TEST(TenantGate, AStatementThatIsPutOffAnewDoesNotWaitBeyondItsUse) {
+TEST(TenantGate, AStatementDeferredAgainDoesNotWaitLongerThanIsUseful) {
     defineRanks();
     submit(open("key-a", "urgent"), StatementVerb::Begin);
     answer(0, milliseconds(90));
@@ -388,7 +388,7 @@
     UNSIGNED_LONGS_EQUAL(before + 1, replies.size());
 }
 
-TEST(TenantGate, TheMostUrgentStatementTakesTheUnitThatIsThere) {
+TEST(TenantGate, TheMostUrgentStatementTakesTheAvailableUnit) {
     defineRanks();
     const SessionId patient = open("key-a", "patient");
     submit(patient, StatementVerb::Begin);
@@ -399,7 +399,7 @@
     CHECK_TRUE(pooler.stateOfSession(patient) == SessionState::Idle);
 }
 
-TEST(TenantGate, ACallerWhoLeavesLeavesTheQueue) {
+TEST(TenantGate, ADisconnectedCallerIsRemovedFromTheQueue) {
     defineRanks();
     const SessionId first = open("key-a", "patient");
     submit(first, StatementVerb::Begin);
@@ -413,7 +413,7 @@
     UNSIGNED_LONGS_EQUAL(1, ran());
 }
 
-TEST(TenantGate, TheFirstArrivalCountsOverReturnsWithTheSameStatement) {
+TEST(TenantGate, TheFirstArrivalCountsAcrossRetriesOfTheSameStatement) {
     defineRanks();
     const SessionId returning = open("key-a", "patient");
     submit(returning, StatementVerb::Begin);
@@ -428,7 +428,7 @@
     CHECK_TRUE(pooler.stateOfSession(younger) == SessionState::Idle);
 }
 
-TEST(TenantGate, WhoWouldBeLateAfterAWaitAsksForAUnitOfNowOnly) {
+TEST(TenantGate, AStatementThatCannotWaitRequestsAnImmediateUnit) {
     defineRanks();
     const SessionId session = open("key-a", "urgent");
     submit(session, StatementVerb::Begin);
@@ -441,7 +441,7 @@
     UNSIGNED_LONGS_EQUAL(2, replies.size());
 }
 
-TEST(TenantGate, WithOneRankWhatIsPutOffIsRefusedAtOnce) {
+TEST(TenantGate, WithOneRankADeferredStatementIsRefusedAtOnce) {
     beginWithAccountingNode();
     CHECK_TRUE(links.lastAsked.wantedByRank.empty());
     answer(0, milliseconds(1));
@@ -449,7 +449,7 @@
     CHECK_TRUE(replies.back().error->retryAfter == milliseconds(1));
 }
 
-TEST(TenantGate, AStopRefusesAtOnceWhatWaitsForItsTurn) {
+TEST(TenantGate, AShutdownImmediatelyRefusesStatementsWaitingForTheirTurn) {
     defineRanks();
     submit(open("key-a", "patient"), StatementVerb::Begin);
     answer(0, milliseconds(300));
--- a/tests/tenancy/UnitTurnsTest.cpp
+++ b/tests/tenancy/UnitTurnsTest.cpp
@@ -24,47 +24,47 @@
     }
 };
 
-TEST(UnitTurns, WithoutDemandOfOthersEachRankMayTakeAll) {
+TEST(UnitTurns, WithoutDemandOfOtherRanksEachRankMayTakeAllUnits) {
     UNSIGNED_LONGS_EQUAL(3, grantable(2, 5, 3.9));
 }
 
-TEST(UnitTurns, APartOfTheBucketIsKeptForTheDemandOfMoreUrgentRanks) {
-    turns.noteAsked(0, 20, now);
+TEST(UnitTurns, APartOfTheBucketIsReservedForTheDemandOfMoreUrgentRanks) {
+    turns.noteDemand(0, 20, now);
     // 20 units per second are reserved for 250 ms.
     UNSIGNED_LONGS_EQUAL(0, grantable(1, 1, 5.5));
     UNSIGNED_LONGS_EQUAL(1, grantable(1, 1, 6));
     UNSIGNED_LONGS_EQUAL(1, grantable(0, 1, 1));
 }
 
-TEST(UnitTurns, NoMoreThanHalfOfTheBucketIsKept) {
-    turns.noteAsked(0, 1000, now);
+TEST(UnitTurns, AtMostHalfOfTheBucketIsReserved) {
+    turns.noteDemand(0, 1000, now);
     UNSIGNED_LONGS_EQUAL(1, grantable(1, 1, 11));
 }
 
-TEST(UnitTurns, WhatWasAskedLongAgoKeepsNothing) {
-    turns.noteAsked(0, 20, now);
+TEST(UnitTurns, OldDemandReservesNothing) {
+    turns.noteDemand(0, 20, now);
     now += seconds(5);
     UNSIGNED_LONGS_EQUAL(1, grantable(1, 1, 2));
 }
 
-TEST(UnitTurns, WhoComesLaterIsBehindThoseWhoHaveATurn) {
-    turns.promise(1, 2, now + milliseconds(10));
+TEST(UnitTurns, NewRequestsComeAfterThoseThatHaveATurn) {
+    turns.addTurn(1, 2, now + milliseconds(10));
     UNSIGNED_LONGS_EQUAL(0, grantable(1, 1, 2));
     UNSIGNED_LONGS_EQUAL(0, grantable(2, 1, 2));
     UNSIGNED_LONGS_EQUAL(1, grantable(0, 1, 2));
     CHECK_TRUE(turns.untilGranted({1, 1, 0, 0}, holding(1), now) == milliseconds(20));
 }
 
-TEST(UnitTurns, WhoComesInTurnIsFirst) {
-    turns.promise(1, 2, now);
+TEST(UnitTurns, RequestsInTurnComeFirst) {
+    turns.addTurn(1, 2, now);
     UNSIGNED_LONGS_EQUAL(2, turns.claim(1, 3, now));
-    UNSIGNED_LONGS_EQUAL(0, turns.promisedUpTo(1, now));
-    turns.promise(1, 5, now + milliseconds(100));
+    UNSIGNED_LONGS_EQUAL(0, turns.scheduledUpTo(1, now));
+    turns.addTurn(1, 5, now + milliseconds(100));
     UNSIGNED_LONGS_EQUAL(2, turns.grantable({1, 0, 2, 0}, holding(2), now));
 }
 
 TEST(UnitTurns, ATurnIsClaimedOnceAndNotBeforeItIsDue) {
-    turns.promise(1, 1, now + milliseconds(50));
+    turns.addTurn(1, 1, now + milliseconds(50));
     UNSIGNED_LONGS_EQUAL(0, turns.claim(1, 1, now));
     now += milliseconds(50);
     UNSIGNED_LONGS_EQUAL(0, turns.claim(2, 1, now));
@@ -72,32 +72,32 @@
     UNSIGNED_LONGS_EQUAL(0, turns.claim(1, 1, now));
 }
 
-TEST(UnitTurns, ATurnInWhichNobodyComesExpires) {
-    turns.promise(1, 1, now);
+TEST(UnitTurns, AnUnclaimedTurnExpires) {
+    turns.addTurn(1, 1, now);
     now += milliseconds(199);
-    UNSIGNED_LONGS_EQUAL(1, turns.promisedUpTo(1, now));
+    UNSIGNED_LONGS_EQUAL(1, turns.scheduledUpTo(1, now));
     now += milliseconds(1);
-    UNSIGNED_LONGS_EQUAL(0, turns.promisedUpTo(1, now));
+    UNSIGNED_LONGS_EQUAL(0, turns.scheduledUpTo(1, now));
 }
 
 TEST(UnitTurns, TurnsAreBoundedInNumber) {
     for (int turn = 0; turn < 5000; ++turn) {
-        turns.promise(1, 1, now);
+        turns.addTurn(1, 1, now);
     }
-    UNSIGNED_LONGS_EQUAL(1024, turns.promisedUpTo(1, now));
+    UNSIGNED_LONGS_EQUAL(1024, turns.scheduledUpTo(1, now));
 }
 
-TEST(UnitTurns, TheTimeCountsWhatMoreUrgentRanksTake) {
-    turns.noteAsked(0, 50, now);
+TEST(UnitTurns, TheAnnouncedTimeIncludesTheDemandOfMoreUrgentRanks) {
+    turns.noteDemand(0, 50, now);
     // 10 tokens are reserved, and half of the rate is left.
     CHECK_TRUE(turns.untilGranted({1, 1, 0, 0}, holding(0), now) == milliseconds(220));
 }
 
-TEST(UnitTurns, WhatIsGrantedIsTakenInTurnFirst) {
-    const RankedWish left = RankedWish{1, 2, 2, 1}.without(3);
+TEST(UnitTurns, GrantedUnitsAreTakenFromThoseInTurnFirst) {
+    const RankedRequest left = RankedRequest{1, 2, 2, 1}.without(3);
     UNSIGNED_LONGS_EQUAL(0, left.inTurn);
     UNSIGNED_LONGS_EQUAL(1, left.fresh);
-    UNSIGNED_LONGS_EQUAL(1, left.nowOnly);
+    UNSIGNED_LONGS_EQUAL(1, left.immediateOnly);
 }
 
 }  // namespace
