--- a/src/tenancy/QuotaLease.cpp
+++ b/src/tenancy/QuotaLease.cpp
@@ -8,11 +8,13 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/** Time over which the rate of a tenant at a node is smoothed. */
+/** Time constant for smoothing a tenant's rate at a node. */
 constexpr Duration kRateSpan = std::chrono::seconds(1);
-/** Ended batches of which the leader is still to be told. Of others it learns nothing, and counts
- * all their units to their end. */
-constexpr std::size_t kMostEnded = 32;
+/**
+ * Maximum number of ended batches kept to be reported to the leader. The leader gets no report of
+ * others, and counts all their units until they expire.
+ */
+constexpr std::size_t kMaxEndedBatches = 32;
 
 }  // namespace
 
@@ -31,7 +33,7 @@
 void QuotaLease::end(const Batch& batch) {
     _unused += batch.left;
     _ended.push_back(batch);
-    if (_ended.size() > kMostEnded) {
+    if (_ended.size() > kMaxEndedBatches) {
         _ended.pop_front();
     }
 }
@@ -56,8 +58,8 @@
         end(batch);
         _batches.pop_front();
     }
-    const double fading = std::exp(-(Seconds(now - _ratedAt) / Seconds(kRateSpan)));
-    _rate = _rate * fading + 1 / Seconds(kRateSpan).count();
+    const double decay = std::exp(-(Seconds(now - _ratedAt) / Seconds(kRateSpan)));
+    _rate = _rate * decay + 1 / Seconds(kRateSpan).count();
     _ratedAt = now;
     return true;
 }
@@ -80,8 +82,8 @@
 }
 
 std::uint32_t QuotaLease::unitsAhead(Duration span, TimePoint now) const {
-    const double fading = std::exp(-(Seconds(now - _ratedAt) / Seconds(kRateSpan)));
-    return static_cast<std::uint32_t>(std::floor(_rate * fading * Seconds(span).count()));
+    const double decay = std::exp(-(Seconds(now - _ratedAt) / Seconds(kRateSpan)));
+    return static_cast<std::uint32_t>(std::floor(_rate * decay * Seconds(span).count()));
 }
 
 std::vector<BatchSettlement> QuotaLease::settlements(TimePoint now) const {
@@ -92,8 +94,8 @@
     return result;
 }
 
-void QuotaLease::forget(const std::vector<BatchSettlement>& told) {
-    for (const BatchSettlement& settlement : told) {
+void QuotaLease::forget(const std::vector<BatchSettlement>& reported) {
+    for (const BatchSettlement& settlement : reported) {
         std::erase_if(_ended,
                       [&settlement](const Batch& batch) { return batch.id == settlement.batch; });
     }
--- a/src/tenancy/ShardLeader.cpp
+++ b/src/tenancy/ShardLeader.cpp
@@ -23,14 +23,14 @@
 constexpr double kAllowanceLow = 0.3;
 
 /** @return the units that the request asks for, the most urgent rank first. */
-std::vector<RankedWish> wishesOf(const QuotaRequest& request) {
+std::vector<RankedRequest> wishesOf(const QuotaRequest& request) {
     const auto wanted = [&request](std::size_t index) {
         return index < request.wantedByRank.size() ? request.wantedByRank[index] : 0;
     };
-    std::vector<RankedWish> wishes;
+    std::vector<RankedRequest> wishes;
     for (std::uint32_t rank = 0; rank < settings::kAdmissionRanks; ++rank) {
-        const RankedWish wish{rank, wanted(rank), wanted(settings::kAdmissionRanks + rank),
-                              wanted(2 * settings::kAdmissionRanks + rank)};
+        const RankedRequest wish{rank, wanted(rank), wanted(settings::kAdmissionRanks + rank),
+                                 wanted(2 * settings::kAdmissionRanks + rank)};
         if (wish.units() > 0) {
             wishes.push_back(wish);
         }
@@ -166,12 +166,12 @@
     // ranks applies to these units in the same way.
     const std::uint32_t left = std::min(freeUnits(tenant, now), _allowances.left(tenant.name));
     paced.tokens = std::min<double>(paced.tokens, left);
-    for (const RankedWish& asked : wishesOf(request)) {
+    for (const RankedRequest& asked : wishesOf(request)) {
         const std::uint32_t inTurn = turns.claim(asked.rank, asked.inTurn, now);
         // Units whose reservation is unknown here, as with a new leader, count as new requests.
         const std::uint32_t fresh = asked.fresh + asked.inTurn - inTurn;
-        const RankedWish wish{asked.rank, fresh, inTurn, asked.nowOnly};
-        turns.noteAsked(wish.rank, wish.fresh + wish.nowOnly, now);
+        const RankedRequest wish{asked.rank, fresh, inTurn, asked.immediateOnly};
+        turns.noteDemand(wish.rank, wish.fresh + wish.immediateOnly, now);
         const std::uint32_t most = units - granted.units;
         const std::uint32_t taken = std::min(most, turns.grantable(wish, paced, now));
         granted.units += taken;
@@ -202,15 +202,15 @@
 Duration ShardLeader::defer(const Tenant& tenant, const RankedGrant& granted, TimePoint now) {
     UnitTurns& turns = _turns[tenant.name];
     std::optional<Duration> first;
-    for (const RankedWish& wish : granted.deferred) {
-        const std::uint32_t before = turns.promisedUpTo(wish.rank, now);
+    for (const RankedRequest& wish : granted.deferred) {
+        const std::uint32_t before = turns.scheduledUpTo(wish.rank, now);
         const Duration paced = turns.untilGranted(wish, _pacers[tenant.name].paced(), now);
         const Duration freed = untilFree(tenant, wish.units() + before, now);
         const Duration until = std::max(paced, freed);
-        const bool isWaitedFor = until <= _context.ranks->patience[wish.rank];
-        const std::uint32_t waiting = isWaitedFor ? wish.units() - wish.nowOnly : 0;
+        const bool isWaitedFor = until <= _context.ranks->maxTurnWait[wish.rank];
+        const std::uint32_t waiting = isWaitedFor ? wish.units() - wish.immediateOnly : 0;
         if (waiting > 0) {
-            turns.promise(wish.rank, waiting, now + until);
+            turns.addTurn(wish.rank, waiting, now + until);
         }
         _context.statistics.deferredByRank[wish.rank] += waiting;
         _context.statistics.refusedByRank[wish.rank] += wish.units() - waiting;
--- a/src/tenancy/ShardLeader.h
+++ b/src/tenancy/ShardLeader.h
@@ -103,7 +103,7 @@
         std::uint32_t units = 0;
         /** Empty where the request names no ranks. */
         std::vector<std::uint32_t> byRank;
-        std::vector<RankedWish> deferred;
+        std::vector<RankedRequest> deferred;
     };
     struct UnacknowledgedGrant {
         QuotaReply reply;
--- a/src/tenancy/TenantGate.cpp
+++ b/src/tenancy/TenantGate.cpp
@@ -16,27 +16,38 @@
 using pooling::StatementFault;
 using pooling::StatementVerb;
 
-/** Part of the revocation bound for which settings are trusted. The rest covers a statement that
- * has come but was not read yet, and a step of the event loop. */
+/**
+ * Fraction of the revocation bound for which settings are trusted. The rest covers a statement that
+ * has arrived but was not read yet, and one iteration of the event loop.
+ */
 constexpr double kTrustedShare = 0.9;
-/** When a caller of a node with old settings should come back; another node may do better. */
-constexpr Duration kRetryWithOldSettings = std::chrono::milliseconds(500);
+/** Retry delay for callers of a node with outdated settings; another node may have newer ones. */
+constexpr Duration kRetryWithOutdatedSettings = std::chrono::milliseconds(500);
 
-/** A caller that comes back with the same statement within this time is taken for the one that was
- * refused. */
-constexpr Duration kReturnsWithin = std::chrono::seconds(2);
-/** The leader's answer takes this part of the wait that it found to be of use. */
+/**
+ * If a session repeats a refused statement within this time, it is treated as a retry of that
+ * statement.
+ */
+constexpr Duration kRetryMatchWindow = std::chrono::seconds(2);
+/**
+ * Allowance added to the longest useful wait, because the leader's response takes up part of a wait
+ * that is judged useful when the response arrives.
+ */
 constexpr Duration kAnswerMargin = std::chrono::milliseconds(30);
-/** A statement waits no longer than this, or than its rank's patience: the time for which a late
- * answer is waited for. */
+/**
+ * A statement waits no longer than this or its rank's longest wait for a turn, whichever is longer.
+ * This is the time for which a late response is awaited.
+ */
 constexpr Duration kLongestWait = std::chrono::milliseconds(700);
 
-/** A statement whose caller has lost more than this part of its rank's patience, before it came
- * back, would be late after the longest wait for a turn. */
-constexpr double kMostLost = 0.25;
+/**
+ * If a caller has spent more than this fraction of its rank's longest wait before its retry, the
+ * statement would be late after the longest wait for a turn.
+ */
+constexpr double kMaxElapsedShare = 0.25;
 
-StatementError oldSettings() {
-    return pooling::notRun("settings not confirmed", kRetryWithOldSettings);
+StatementError outdatedSettingsError() {
+    return pooling::notRun("settings not confirmed", kRetryWithOutdatedSettings);
 }
 
 std::int64_t inMilliseconds(Duration span) {
@@ -57,11 +68,11 @@
 
 void TenantGate::applyTenants(std::shared_ptr<const TenantDirectory> tenants) {
     _tenants = std::move(tenants);
-    takeRanks();
+    refreshRanks();
 }
 
-/** The pooler's services tell what ranks there are. */
-void TenantGate::takeRanks() {
+/** Derives the ranks from the pooler's services. */
+void TenantGate::refreshRanks() {
     const std::shared_ptr<const pooling::ServiceCatalog> catalog = _pooler.catalog();
     if (catalog == _catalog) {
         return;
@@ -86,12 +97,12 @@
     if (_tenants->requiresCredential(service)) {
         const Tenant* tenant = _tenants->findByCredential(session.credential);
         if (tenant == nullptr) {
-            // Settings that are too old may lack a credential that was added.
+            // Outdated settings may lack a credential that was added.
             const bool known = knowsSettings(_clock.now());
             ++(known ? _statistics.refusedCredential : _statistics.refusedOldSettings);
             return {std::nullopt,
                     known ? StatementError{StatementFault::Unauthorized, "unknown credential"}
-                          : oldSettings()};
+                          : outdatedSettingsError()};
         }
         session.tenant = tenant->name;
     }
@@ -100,19 +111,19 @@
     return {id, std::nullopt};
 }
 
-/** @return why the statement must not run. */
+/** @return the reason why the statement must not run, if any. */
 std::optional<StatementError> TenantGate::checkAccess(SessionId id, GatedSession& session) {
     if (!_tenants->requiresCredential(session.service)) {
         return std::nullopt;
     }
     if (!knowsSettings(_clock.now())) {
         ++_statistics.refusedOldSettings;
-        return oldSettings();
+        return outdatedSettingsError();
     }
     return resolve(id, session);
 }
 
-/** Finds who holds the session's credential now. */
+/** Looks up the tenant that holds the session's credential now. */
 std::optional<StatementError> TenantGate::resolve(SessionId id, GatedSession& session) {
     if (session.resolvedVersion == _tenants->version()) {
         return std::nullopt;
@@ -134,7 +145,7 @@
     return std::nullopt;
 }
 
-/** A single statement or a transaction is one unit, counted with its first statement. */
+/** A single statement or a transaction is one unit, which is counted at its first statement. */
 bool TenantGate::beginsUnit(SessionId id, const Statement& statement) const {
     switch (statement.verb) {
         case StatementVerb::Begin:
@@ -159,7 +170,7 @@
         return;
     }
     GatedSession& session = found->second;
-    // What rolls back or has failed already runs nothing at a server.
+    // A rollback and a statement in a failed transaction run nothing at a server.
     const bool endsOnly = statement.verb == StatementVerb::Rollback ||
                           _pooler.stateOfSession(id) == pooling::SessionState::Failed;
     if (!endsOnly) {
@@ -174,13 +185,15 @@
         return;
     }
     const TenantName tenant = session.tenant;
-    hold(id, session, std::move(statement));
+    enqueue(id, session, std::move(statement));
     admitWaiting(tenant);
 }
 
-/** The statement waits behind those of its rank that have a turn or first asked before. */
-void TenantGate::hold(SessionId id, GatedSession& session, Statement statement) {
-    takeRanks();
+/**
+ * Queues the statement behind those of its rank that have a turn or whose callers asked earlier.
+ */
+void TenantGate::enqueue(SessionId id, GatedSession& session, Statement statement) {
+    refreshRanks();
     const TimePoint now = _clock.now();
     session.firstArrival = now;
     if (session.firstAsking.remembers(now)) {
@@ -218,12 +231,13 @@
     _pooler.refuse(id, statement, std::move(error));
 }
 
-/** Settings past their bound may lack a service that was added: then it is not called unknown. */
+/** Outdated settings may lack a service that was added, so it is not reported as unknown. */
 StatementError TenantGate::refuseUnknownService(const ServiceName& service) {
     const Duration age = _clock.now() - _settingsKnownAt();
     const bool known = _applied == Duration(0) || age <= _applied;
-    StatementError error =
-        known ? StatementError{StatementFault::UnknownDatabase, "no such database"} : oldSettings();
+    StatementError error = known
+                               ? StatementError{StatementFault::UnknownDatabase, "no such database"}
+                               : outdatedSettingsError();
     _statistics.refusedOldSettings += known ? 0 : 1;
     LogEvent("session", LogLevel::Warning, "session.refused")
         .field("service", service)
@@ -233,7 +247,7 @@
     return error;
 }
 
-/** Tells in the log what every refusal tells. */
+/** Adds the log fields that all refusals have in common. */
 void TenantGate::describeRefusal(LogEvent& line, const GatedSession& session,
                                  const Statement& statement, const StatementError& error) const {
     line.field("request", statement.id)
@@ -245,9 +259,11 @@
         .field("settings_age_ms", inMilliseconds(_clock.now() - _settingsKnownAt()));
 }
 
-/** Tells of a turn whether there was none in time, or one that was not kept. */
-void TenantGate::logTurnedAway(const GatedSession& session, const Statement& statement,
-                               const StatementError& error) const {
+/**
+ * Logs a refusal by quota, and whether the statement had no turn in time or one that was missed.
+ */
+void TenantGate::logQuotaRefusal(const GatedSession& session, const Statement& statement,
+                                 const StatementError& error) const {
     const TimePoint now = _clock.now();
     LogEvent line("tenancy", LogLevel::Warning, "request.refused");
     describeRefusal(line, session, statement, error);
@@ -257,16 +273,19 @@
         .field("first_asked_ms", inMilliseconds(now - session.firstArrival));
 }
 
-/** Passes statements of the tenant on while there are units, the most urgent rank first. */
+/**
+ * Passes statements of the tenant to the pooler while there are units, the most urgent rank first.
+ */
 void TenantGate::admitWaiting(const TenantName& tenant) {
     for (std::uint32_t rank = 0; rank < settings::kAdmissionRanks; ++rank) {
         admitRank({tenant, rank});
     }
 }
 
-/** Passes statements of one rank on, in the order in which their callers first asked. */
+/** Passes statements of one rank to the pooler, in the order in which their callers first asked. */
 void TenantGate::admitRank(const RankedTenant& key) {
-    // A reply may bring the caller's next statement, and with it another call of this method.
+    // A reply may cause the caller to send its next statement, and so a reentrant call of this
+    // method.
     for (auto queue = _waiting.find(key); queue != _waiting.end(); queue = _waiting.find(key)) {
         if (queue->second.empty()) {
             _waiting.erase(queue);
@@ -274,50 +293,53 @@
             return;
         }
         const SessionId id = queue->second.front();
-        const QuotaVerdict verdict = _quotas.take(key.first, waitingIn(key, queue->second));
-        if (verdict.kind == QuotaVerdict::Kind::Waiting) {
-            if (endOverdue(key, verdict)) {
+        const QuotaDecision decision = _quotas.take(key.first, waitingIn(key, queue->second));
+        if (decision.kind == QuotaDecision::Kind::Waiting) {
+            if (refuseOverdue(key, decision)) {
                 continue;
             }
             ++_statistics.waitedForQuota;
             return;
         }
-        if (verdict.kind == QuotaVerdict::Kind::Turn) {
-            if (awaitTurn(key, verdict)) {
+        if (decision.kind == QuotaDecision::Kind::Turn) {
+            if (awaitTurn(key, decision)) {
                 return;
             }
             continue;
         }
         queue->second.pop_front();
         GatedSession& session = _sessions.at(id);
-        if (verdict.kind == QuotaVerdict::Kind::Granted) {
-            passOn(id, session);
+        if (decision.kind == QuotaDecision::Kind::Granted) {
+            submitQueued(id, session);
         } else {
-            turnAway(id, session, verdict.retryAfter);
+            refuseQueued(id, session, decision.retryAfter);
         }
     }
 }
 
-/** @return the last moment at which the statement still waits, whatever is told meanwhile. */
+/**
+ * @return the time until which the statement waits at most, whatever the responses say meanwhile.
+ */
 TimePoint TenantGate::longestWaitEnd(const GatedSession& session) const {
     return session.waitingSince +
-           std::max(_ranks.patience[session.rank] + kAnswerMargin, kLongestWait);
+           std::max(_ranks.maxTurnWait[session.rank] + kAnswerMargin, kLongestWait);
 }
 
 /**
- * Each answer may name a later turn, because more urgent ranks go first: nobody waits through more
- * of them than a single late answer would take.
- * @return whether a statement was refused: the queue has changed.
+ * Refuses a statement that has waited for too long. Each response may name a later turn, because
+ * more urgent ranks come first; a statement waits through several responses no longer than for a
+ * single late one.
+ * @return whether a statement was refused, which changes the queue.
  */
-bool TenantGate::endOverdue(const RankedTenant& key, const QuotaVerdict& verdict) {
+bool TenantGate::refuseOverdue(const RankedTenant& key, const QuotaDecision& decision) {
     const TimePoint now = _clock.now();
     Queue& queue = _waiting.at(key);
-    TimePoint due = now + verdict.retryAfter;
+    TimePoint due = now + decision.retryAfter;
     for (const SessionId id : queue) {
         GatedSession& session = _sessions.at(id);
         if (longestWaitEnd(session) <= now) {
             std::erase(queue, id);
-            turnAway(id, session, verdict.retryAfter);
+            refuseQueued(id, session, decision.retryAfter);
             return true;
         }
         due = std::min(due, longestWaitEnd(session));
@@ -326,55 +348,60 @@
     return false;
 }
 
-WaitingStatements TenantGate::waitingIn(const RankedTenant& key, const Queue& queue) const {
-    WaitingStatements waiting;
+QueuedStatements TenantGate::waitingIn(const RankedTenant& key, const Queue& queue) const {
+    QueuedStatements waiting;
     waiting.count = static_cast<std::uint32_t>(queue.size());
     waiting.rank = key.second;
     for (const SessionId id : queue) {
         const GatedSession& session = _sessions.at(id);
-        waiting.nowOnly += _ranks.ranksDiffer && !session.hasTurn && !mayWait(session) ? 1 : 0;
+        waiting.immediateOnly +=
+            _ranks.ranksDiffer && !session.hasTurn && !mayWait(session) ? 1 : 0;
     }
     return waiting;
 }
 
-/** @return whether a turn that others of its rank would wait for leaves the statement in time. */
+/**
+ * @return whether the statement can wait for a turn as long as others of its rank and still meet
+ * its objective.
+ */
 bool TenantGate::mayWait(const GatedSession& session) const {
-    const Duration lost = session.waitingSince - session.firstArrival;
-    return lost <= _ranks.patience[session.rank] * kMostLost;
+    const Duration elapsed = session.waitingSince - session.firstArrival;
+    return elapsed <= _ranks.maxTurnWait[session.rank] * kMaxElapsedShare;
 }
 
-/** @return whether a unit that comes then is of use to the caller. */
-bool TenantGate::isInUse(const GatedSession& session, TimePoint turn) const {
-    return turn <= session.waitingSince + _ranks.patience[session.rank] + kAnswerMargin;
+/** @return whether a unit that is granted at the given time is still of use to the caller. */
+bool TenantGate::isUsefulAt(const GatedSession& session, TimePoint turn) const {
+    return turn <= session.waitingSince + _ranks.maxTurnWait[session.rank] + kAnswerMargin;
 }
 
-/** @return a statement for which no unit will come in time. */
-std::optional<SessionId> TenantGate::withoutProspect(const Queue& queue,
-                                                     const QuotaVerdict& verdict) const {
+/** @return a statement that will not get a unit in time, if there is one. */
+std::optional<SessionId> TenantGate::findUnservable(const Queue& queue,
+                                                    const QuotaDecision& decision) const {
     for (const SessionId id : queue) {
         const GatedSession& session = _sessions.at(id);
         if (!session.hasTurn && !mayWait(session)) {
             return id;
         }
     }
-    if (queue.size() > verdict.turns) {
+    if (queue.size() > decision.turns) {
         return queue.back();
     }
-    const bool isLate = !isInUse(_sessions.at(queue.front()), _clock.now() + verdict.retryAfter);
-    return isLate ? std::optional(queue.front()) : std::nullopt;
+    const bool isTooLate =
+        !isUsefulAt(_sessions.at(queue.front()), _clock.now() + decision.retryAfter);
+    return isTooLate ? std::optional(queue.front()) : std::nullopt;
 }
 
 /**
- * The statements wait for their turns, but for one that has none or for which it comes too late.
- * @return false when such a one was refused: the queue has changed.
+ * Lets the statements wait for their turns, except one that has none or whose turn comes too late.
+ * @return false if such a statement was refused, which changes the queue.
  */
-bool TenantGate::awaitTurn(const RankedTenant& key, const QuotaVerdict& verdict) {
+bool TenantGate::awaitTurn(const RankedTenant& key, const QuotaDecision& decision) {
     Queue& queue = _waiting.at(key);
-    if (const std::optional<SessionId> hopeless = withoutProspect(queue, verdict)) {
-        const bool isLate = queue.size() <= verdict.turns;
-        std::erase(queue, *hopeless);
-        turnAway(*hopeless, _sessions.at(*hopeless),
-                 isLate ? verdict.retryAfter : verdict.othersAfter);
+    if (const std::optional<SessionId> unservable = findUnservable(queue, decision)) {
+        const bool isTooLate = queue.size() <= decision.turns;
+        std::erase(queue, *unservable);
+        refuseQueued(*unservable, _sessions.at(*unservable),
+                     isTooLate ? decision.retryAfter : decision.othersAfter);
         return false;
     }
     for (const SessionId id : queue) {
@@ -382,26 +409,26 @@
         _statistics.waitedForTurnByRank[key.second] += session.hasTurn ? 0 : 1;
         session.hasTurn = true;
     }
-    _due[key] = _clock.now() + verdict.retryAfter;
+    _due[key] = _clock.now() + decision.retryAfter;
     return true;
 }
 
-/** The statement of the session that waited for a unit goes on. */
-void TenantGate::passOn(SessionId id, GatedSession& session) {
+/** Passes the session's queued statement to the pooler. */
+void TenantGate::submitQueued(SessionId id, GatedSession& session) {
     _statistics.turnsKeptByRank[session.rank] += session.hasTurn ? 1 : 0;
     _pooler.submit(id, *std::exchange(session.waiting, std::nullopt));
 }
 
-/** The statement of the session that waited for a unit ends. */
-void TenantGate::turnAway(SessionId id, GatedSession& session, Duration retryAfter) {
+/** Refuses the session's queued statement. */
+void TenantGate::refuseQueued(SessionId id, GatedSession& session, Duration retryAfter) {
     const Statement statement = *std::exchange(session.waiting, std::nullopt);
     const Duration asked = _clock.now() - session.firstArrival;
     session.firstAsking.noteRefused(contentHash(statement), session.firstArrival,
-                                    asked + kReturnsWithin);
+                                    asked + kRetryMatchWindow);
     ++_statistics.refusedQuota;
     ++_statistics.refusedQuotaByRank[session.rank];
     const StatementError error = pooling::notRun("quota of the tenant is used up", retryAfter);
-    logTurnedAway(session, statement, error);
+    logQuotaRefusal(session, statement, error);
     _pooler.refuse(id, statement, error);
 }
 
--- a/src/tenancy/UnitTurns.cpp
+++ b/src/tenancy/UnitTurns.cpp
@@ -9,37 +9,49 @@
 using Seconds = std::chrono::duration<double>;
 using std::chrono::milliseconds;
 
-/** Time over which the demand of a rank is smoothed. */
+/** Time constant for smoothing the demand of a rank. */
 constexpr Duration kDemandSpan = std::chrono::seconds(1);
-/** The bucket keeps what more urgent ranks ask for in this time: their statements come in bunches,
- * which find their units while the others wait. */
-constexpr Duration kKeptFor = milliseconds(250);
-/** No more of the bucket is kept than this part. */
-constexpr double kMostKept = 0.5;
-/** A turn that nobody came back in is forgotten after this time. Callers wait no longer than their
- * objective, and a question takes some hundred milliseconds on a crowded machine. */
-constexpr Duration kTurnKept = milliseconds(200);
-/** A question for a turn may come so much before it is due: times are rounded on their way. */
+/**
+ * The bucket reserves the units that more urgent ranks request within this time: their statements
+ * arrive in bursts, and find units available while the other ranks wait.
+ */
+constexpr Duration kReservedFor = milliseconds(250);
+/** Maximum fraction of the bucket that is reserved. */
+constexpr double kMaxReservedShare = 0.5;
+/**
+ * An unclaimed turn expires after this time. Callers wait no longer than their objective, and a
+ * request takes a few hundred milliseconds on an overloaded machine.
+ */
+constexpr Duration kTurnLifetime = milliseconds(200);
+/**
+ * A request for a turn may arrive this much before the turn is due, because times are rounded in
+ * transit.
+ */
 constexpr Duration kEarly = milliseconds(5);
-/** Most turns of one rank; others are told the time, and come back as new ones. */
-constexpr std::size_t kMostTurns = 1024;
-/** Part of the rate that a rank gets at least, for the time that it is told: while more urgent
- * ranks ask for all of it, its turn lies far away. */
-constexpr double kLeastPace = 0.02;
+/**
+ * Maximum number of turns of one rank. Callers beyond it get the time without a turn, and their
+ * retries count as new requests.
+ */
+constexpr std::size_t kMaxTurns = 1024;
+/**
+ * Minimum fraction of the rate that is assumed for a rank when its announced time is computed.
+ * While more urgent ranks request the whole rate, the turn is far in the future.
+ */
+constexpr double kMinRateShare = 0.02;
 
 std::uint32_t wholeUnits(double units) {
     return static_cast<std::uint32_t>(std::max(0.0, std::floor(units)));
 }
 
-double faded(double perSecond, Duration age) {
+double decayed(double perSecond, Duration age) {
     return perSecond * std::exp(-(Seconds(age) / Seconds(kDemandSpan)));
 }
 
 }  // namespace
 
-RankedWish RankedWish::without(std::uint32_t granted) const {
-    RankedWish left = *this;
-    for (std::uint32_t* part : {&left.inTurn, &left.fresh, &left.nowOnly}) {
+RankedRequest RankedRequest::without(std::uint32_t granted) const {
+    RankedRequest left = *this;
+    for (std::uint32_t* part : {&left.inTurn, &left.fresh, &left.immediateOnly}) {
         const std::uint32_t taken = std::min(*part, granted);
         *part -= taken;
         granted -= taken;
@@ -47,30 +59,30 @@
     return left;
 }
 
-void UnitTurns::noteAsked(std::uint32_t rank, std::uint32_t units, TimePoint now) {
+void UnitTurns::noteDemand(std::uint32_t rank, std::uint32_t units, TimePoint now) {
     Demand& demand = _demand[rank];
     demand.perSecond =
-        faded(demand.perSecond, now - demand.at) + units / Seconds(kDemandSpan).count();
+        decayed(demand.perSecond, now - demand.at) + units / Seconds(kDemandSpan).count();
     demand.at = now;
 }
 
 double UnitTurns::demandBefore(std::uint32_t rank, TimePoint now) const {
     double perSecond = 0;
     for (std::uint32_t urgent = 0; urgent < rank; ++urgent) {
-        perSecond += faded(_demand[urgent].perSecond, now - _demand[urgent].at);
+        perSecond += decayed(_demand[urgent].perSecond, now - _demand[urgent].at);
     }
     return perSecond;
 }
 
-/** @return units of the bucket that are kept for more urgent ranks. */
-double UnitTurns::keptFrom(std::uint32_t rank, const PacedUnits& paced, TimePoint now) const {
-    return std::min(demandBefore(rank, now) * Seconds(kKeptFor).count(),
-                    paced.capacity * kMostKept);
+/** @return the number of units in the bucket that are reserved for more urgent ranks. */
+double UnitTurns::reservedUnits(std::uint32_t rank, const PacedUnits& paced, TimePoint now) const {
+    return std::min(demandBefore(rank, now) * Seconds(kReservedFor).count(),
+                    paced.capacity * kMaxReservedShare);
 }
 
 void UnitTurns::expire(TimePoint now) {
     for (std::deque<Turn>& turns : _turns) {
-        while (!turns.empty() && turns.front().due + kTurnKept <= now) {
+        while (!turns.empty() && turns.front().due + kTurnLifetime <= now) {
             turns.pop_front();
         }
     }
@@ -91,7 +103,7 @@
     return claimed;
 }
 
-std::uint32_t UnitTurns::promisedUpTo(std::uint32_t rank, TimePoint now) {
+std::uint32_t UnitTurns::scheduledUpTo(std::uint32_t rank, TimePoint now) {
     expire(now);
     std::uint32_t units = 0;
     for (std::uint32_t other = 0; other <= rank; ++other) {
@@ -102,7 +114,7 @@
     return units;
 }
 
-/** @return units of more urgent ranks whose turn has come. */
+/** @return the number of units of more urgent ranks whose turn is due. */
 std::uint32_t UnitTurns::dueBefore(std::uint32_t rank, TimePoint now) {
     std::uint32_t units = 0;
     for (std::uint32_t urgent = 0; urgent < rank; ++urgent) {
@@ -113,38 +125,40 @@
     return units;
 }
 
-/** @return units of the bucket that are others' before the wish has any. */
-double UnitTurns::ahead(const RankedWish& wish, const PacedUnits& paced, TimePoint now) {
+/** @return the number of units in the bucket that belong to others before the request gets any. */
+double UnitTurns::ahead(const RankedRequest& request, const PacedUnits& paced, TimePoint now) {
     expire(now);
-    // The turn was given with the time that the bucket needs to keep its part.
-    if (wish.units() == wish.inTurn) {
-        return dueBefore(wish.rank, now);
+    // The due time of a turn already includes the time that the bucket needs for its reserved part.
+    if (request.units() == request.inTurn) {
+        return dueBefore(request.rank, now);
     }
-    return promisedUpTo(wish.rank, now) + keptFrom(wish.rank, paced, now);
+    return scheduledUpTo(request.rank, now) + reservedUnits(request.rank, paced, now);
 }
 
-std::uint32_t UnitTurns::grantable(const RankedWish& wish, const PacedUnits& paced, TimePoint now) {
-    const RankedWish inTurn{wish.rank, 0, wish.inTurn};
+std::uint32_t UnitTurns::grantable(const RankedRequest& request, const PacedUnits& paced,
+                                   TimePoint now) {
+    const RankedRequest inTurn{request.rank, 0, request.inTurn};
     const std::uint32_t first =
-        std::min(wish.inTurn, wholeUnits(paced.tokens - ahead(inTurn, paced, now)));
-    const std::uint32_t others = wish.units() - wish.inTurn;
+        std::min(request.inTurn, wholeUnits(paced.tokens - ahead(inTurn, paced, now)));
+    const std::uint32_t others = request.units() - request.inTurn;
     if (others == 0) {
         return first;
     }
-    const double left = paced.tokens - first - ahead(wish, paced, now);
+    const double left = paced.tokens - first - ahead(request, paced, now);
     return first + std::min(others, wholeUnits(left));
 }
 
-Duration UnitTurns::untilGranted(const RankedWish& putOff, const PacedUnits& paced, TimePoint now) {
+Duration UnitTurns::untilGranted(const RankedRequest& putOff, const PacedUnits& paced,
+                                 TimePoint now) {
     const double missing = ahead(putOff, paced, now) + putOff.units() - paced.tokens;
     const double pace =
-        std::max(paced.rate - demandBefore(putOff.rank, now), paced.rate * kLeastPace);
+        std::max(paced.rate - demandBefore(putOff.rank, now), paced.rate * kMinRateShare);
     return std::chrono::duration_cast<Duration>(Seconds(std::max(0.0, missing) / pace));
 }
 
-void UnitTurns::promise(std::uint32_t rank, std::uint32_t units, TimePoint due) {
+void UnitTurns::addTurn(std::uint32_t rank, std::uint32_t units, TimePoint due) {
     std::deque<Turn>& turns = _turns[rank];
-    if (turns.size() >= kMostTurns) {
+    if (turns.size() >= kMaxTurns) {
         return;
     }
     const auto later = std::find_if(turns.begin(), turns.end(),
--- a/tests/tenancy/QuotaNetwork.cpp
+++ b/tests/tenancy/QuotaNetwork.cpp
@@ -9,11 +9,15 @@
 using std::chrono::milliseconds;
 
 constexpr Duration kQuestionDelay = milliseconds(1);
-/** A link that is cut or whose other end stands still is given up after this time, as by its
- * heartbeats. */
+/**
+ * A link that is cut, or whose other end is suspended, is closed after this time, as heartbeats
+ * would do.
+ */
 constexpr Duration kLinkTimeout = milliseconds(500);
 
-/** A node lists other kinds so often, and learns of the store's era by that. */
+/**
+ * Interval at which a node lists records of other kinds, by which it learns the epoch of the store.
+ */
 constexpr Duration kListEvery = milliseconds(1000);
 
 const TenantName kTenant{"t"};
@@ -61,7 +65,7 @@
     }
 
     void start() {
-        ++life;
+        ++incarnation;
         running = true;
         frozen = false;
         leaving = false;
@@ -72,23 +76,24 @@
         _era = std::make_unique<StoreEra>(_network._clock);
         noteEra(_network._store.era());
         exchange = std::make_unique<QuotaExchange>(
-            QuotaDependencies{_network._clock,
-                              *this,
-                              *this,
-                              *this,
-                              *_era,
-                              {nameOf(_index), nameOf(_index).value() + "/" + std::to_string(life)},
-                              ZoneName("z" + std::to_string(_index % 3)),
-                              [this](const TenantName& tenant) {
-                                  if (gate) {
-                                      gate->gate().onQuotaChange(tenant);
-                                  }
-                              }},
+            QuotaDependencies{
+                _network._clock,
+                *this,
+                *this,
+                *this,
+                *_era,
+                {nameOf(_index), nameOf(_index).value() + "/" + std::to_string(incarnation)},
+                ZoneName("z" + std::to_string(_index % 3)),
+                [this](const TenantName& tenant) {
+                    if (gate) {
+                        gate->gate().onQuotaChange(tenant);
+                    }
+                }},
             _network._terms);
         applyNodes();
         applyQuota();
         if (_network._catalog) {
-            const auto seed = static_cast<unsigned>(_index + 1000 * life);
+            const auto seed = static_cast<unsigned>(_index + 1000 * incarnation);
             gate = std::make_unique<GatedNode>(_network._clock, *exchange, _network._served,
                                                _network._runs, tenants(), _network._catalog, seed);
         }
@@ -152,7 +157,10 @@
         _network.send(std::move(packet), answerDelay);
     }
 
-    /** Records of other kinds show a node that starts whether the store has returned. */
+    /**
+     * Lists records of other kinds, from which a starting node learns whether the store was
+     * restored.
+     */
     void noteEra(std::uint64_t era) {
         _era->note(era, "store");
         _era->noteWritten(_network._store.firstEra());
@@ -175,7 +183,7 @@
                              }));
     }
 
-    /** A question of another node has come. */
+    /** Handles a request of another node. */
     void onQuestion(const Packet& packet) {
         const std::uint64_t asker = ++_lastAsker;
         _askers[asker] = packet;
@@ -201,13 +209,13 @@
         }
     }
 
-    /** Links on which something is waited for are given up in time. */
+    /** Closes links on which a response has been pending for the link timeout. */
     void giveUpLinks() {
         const TimePoint now = _network._clock.now();
         std::set<std::size_t> lost;
         for (const auto& [number, packet] : _unanswered) {
             const Node& other = *_network._nodes[packet.to];
-            const bool refused = !other.running || other.life != packet.targetLife;
+            const bool refused = !other.running || other.incarnation != packet.targetIncarnation;
             const bool silent = !_network.isConnected(_index, packet.to) || other.frozen;
             if (refused || (silent && now - _sentAt[number] >= kLinkTimeout)) {
                 lost.insert(packet.to);
@@ -238,12 +246,12 @@
     std::unique_ptr<QuotaExchange> exchange;
     std::unique_ptr<GatedNode> gate;
     std::set<std::size_t> listed;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     bool running = false;
     bool frozen = false;
     bool leaving = false;
     Duration answerDelay = milliseconds(1);
-    /** What came while the node stood still. */
+    /** Messages that arrived while the node was suspended. */
     std::vector<Packet> unread;
     std::vector<std::function<void()>> unreadStore;
 
@@ -253,8 +261,8 @@
         packet.from = _index;
         packet.to = _network.indexOf(node);
         packet.number = number;
-        packet.life = life;
-        packet.targetLife = _network._nodes[packet.to]->life;
+        packet.incarnation = incarnation;
+        packet.targetIncarnation = _network._nodes[packet.to]->incarnation;
         return packet;
     }
 
@@ -265,7 +273,7 @@
         packet.from = _index;
         packet.to = asked.from;
         packet.number = asked.number;
-        packet.life = asked.life;
+        packet.incarnation = asked.incarnation;
         return packet;
     }
 
@@ -292,25 +300,29 @@
                 exchange->onQuotaResponse(packet.number, std::nullopt);
             }
         }
-        // A link that was lost is tried by a connection of its own.
+        // A lost link is retried by a new connection.
         if (!_network.isConnected(_index, node)) {
             _lostUntil[node] = TimePoint::max();
         }
     }
 
-    /** Calls back unless this life has ended; later if the node stands still. */
+    /**
+     * Wraps the callback so that it is not called after this incarnation has ended, and is deferred
+     * while the node is suspended.
+     */
     template <typename Answer>
     std::function<void(const Answer&)> whileAlive(std::function<void(const Answer&)> callback) {
-        return [this, calledIn = life, callback = std::move(callback)](const Answer& answer) {
-            if (calledIn != life || !running) {
-                return;
-            }
-            if (frozen) {
-                unreadStore.push_back([callback, answer] { callback(answer); });
-                return;
-            }
-            callback(answer);
-        };
+        return
+            [this, calledIn = incarnation, callback = std::move(callback)](const Answer& answer) {
+                if (calledIn != incarnation || !running) {
+                    return;
+                }
+                if (frozen) {
+                    unreadStore.push_back([callback, answer] { callback(answer); });
+                    return;
+                }
+                callback(answer);
+            };
     }
 
     friend class QuotaNetwork;
@@ -323,7 +335,7 @@
     std::uint64_t _lastAsker = 0;
     std::map<std::uint64_t, Packet> _unanswered;
     std::map<std::uint64_t, TimePoint> _sentAt;
-    /** Links that were given up, and when they are usable again. */
+    /** Closed links, and when they are usable again. */
     std::map<std::size_t, TimePoint> _lostUntil;
 };
 
@@ -482,7 +494,7 @@
         if (node->isActive()) {
             node->step();
         }
-        // Connections to nodes that are reached again open soon.
+        // Connections to nodes that are reachable again open after a short time.
         for (auto& [other, until] : node->_lostUntil) {
             if (until == TimePoint::max() && isConnected(node->_index, other)) {
                 until = _clock.now() + milliseconds(200);
@@ -507,10 +519,10 @@
     Node& node = *_nodes[packet.to];
     const bool isAnswer = packet.kind == Packet::Kind::Answer || packet.kind == Packet::Kind::Ack;
     if (!isAnswer) {
-        if (packet.targetLife == node.life) {
+        if (packet.targetIncarnation == node.incarnation) {
             node.onQuestion(packet);
         }
-    } else if (packet.life == node.life) {
+    } else if (packet.incarnation == node.incarnation) {
         node.onAnswer(packet);
     }
 }
@@ -521,8 +533,8 @@
     }
 }
 
-QuotaVerdict QuotaNetwork::look(std::size_t node, std::uint32_t count) {
-    WaitingStatements waiting;
+QuotaDecision QuotaNetwork::look(std::size_t node, std::uint32_t count) {
+    QueuedStatements waiting;
     waiting.count = count;
     return _nodes[node]->exchange->look(kTenant, waiting);
 }
@@ -570,24 +582,24 @@
         return;
     }
     switch (node.exchange->take(kTenant, {}).kind) {
-        case QuotaVerdict::Kind::Granted:
+        case QuotaDecision::Kind::Granted:
             _runs.push_back(_clock.now());
-            ++_judged[index].ran;
+            ++_outcomes[index].ran;
             return;
-        case QuotaVerdict::Kind::Waiting:
-        case QuotaVerdict::Kind::Turn:
+        case QuotaDecision::Kind::Waiting:
+        case QuotaDecision::Kind::Turn:
             _waiting.push_back(index);
             return;
-        case QuotaVerdict::Kind::Refused:
+        case QuotaDecision::Kind::Refused:
             ++_refused;
-            ++_judged[index].refused;
+            ++_outcomes[index].refused;
             return;
     }
 }
 
-QuotaNetwork::Judged QuotaNetwork::judgedAt(std::size_t node) const {
-    const auto found = _judged.find(node);
-    return found == _judged.end() ? Judged{} : found->second;
+QuotaNetwork::NodeOutcome QuotaNetwork::outcomeAt(std::size_t node) const {
+    const auto found = _outcomes.find(node);
+    return found == _outcomes.end() ? NodeOutcome{} : found->second;
 }
 
 std::size_t QuotaNetwork::busiestWindow() const {
@@ -595,7 +607,8 @@
 }
 
 std::size_t QuotaNetwork::busiestWindowSince(TimePoint begin) const {
-    // Of its own: what judges must not follow what is judged.
+    // The test determines the window independently: the check must not depend on the code under
+    // test.
     const Duration window = _quota.mostInSecond ? std::chrono::seconds(1) : _terms.window;
     std::size_t busiest = 0;
     std::size_t first = 0;
--- a/tests/tenancy/QuotaRanksTest.cpp
+++ b/tests/tenancy/QuotaRanksTest.cpp
@@ -1,6 +1,6 @@
 /**
- * A tenant that sends more than its limit, with callers of three ranks on 78 nodes who come back
- * twice within 50 to 180 ms of a refusal: who gets its units.
+ * Checks how units are distributed among ranks when a tenant sends more than its limit: callers of
+ * three ranks on 78 nodes retry twice, within 50 to 180 ms of a refusal.
  */
 #include <CppUTest/TestHarness.h>
 
@@ -18,7 +18,7 @@
 constexpr int kSettleFor = 8000;
 constexpr int kCountFor = 12000;
 const QuotaTerms kTerms{seconds(5), 0.1, 20};
-/** Of a hundred callers so many are of rank 0, and so many of rank 0 or 1. */
+/** Per hundred callers: the number of rank 0, and the number of rank 0 or 1. */
 constexpr unsigned kMostUrgent = 13;
 constexpr unsigned kUrgent = 77;
 
@@ -65,7 +65,7 @@
     std::poisson_distribution<int> _arrivals;
 };
 
-/** @return what was served after the load has settled. */
+/** @return the outcome of the requests after the load has settled. */
 Played play(const TenantQuota& quota, double times,
             std::shared_ptr<const pooling::ServiceCatalog> catalog) {
     Callers callers(quota, times, std::move(catalog));
@@ -83,7 +83,7 @@
         counted.inTime -= before.ranks[rank].inTime;
         counted.refused -= before.ranks[rank].refused;
         counted.refusals -= before.ranks[rank].refusals;
-        counted.toldAtOnce -= before.ranks[rank].toldAtOnce;
+        counted.immediateRetries -= before.ranks[rank].immediateRetries;
     }
     return played;
 }
@@ -97,7 +97,7 @@
 
 TEST_GROUP(QuotaRanks){};
 
-TEST(QuotaRanks, AtSixTimesTheLimitTheMostUrgentRankGetsItsWholeDemand) {
+TEST(QuotaRanks, AtSixTimesTheLimitTheMostUrgentRankGetsItsFullDemand) {
     for (const TenantQuota& quota : {kSmall, kLarge}) {
         const Played played = play(quota, 6, threeRanks());
         CHECK_TRUE(inTime(played.served.ranks[0]) >= 0.98);
@@ -106,7 +106,7 @@
     }
 }
 
-TEST(QuotaRanks, WhatTheMostUrgentDoNotUseGoesToTheOthers) {
+TEST(QuotaRanks, UnitsUnusedByTheMostUrgentRankGoToTheOtherRanks) {
     for (const TenantQuota& quota : {kSmall, kLarge}) {
         const Played played = play(quota, 6, threeRanks());
         const double perSecond = quota.ratePerSecond + quota.burst / 5;
@@ -114,7 +114,7 @@
     }
 }
 
-TEST(QuotaRanks, NineInTenStatementsThatWaitForTheirTurnGetTheirUnit) {
+TEST(QuotaRanks, NineInTenStatementsThatWaitForATurnGetAUnit) {
     for (const double times : {1.5, 6.0}) {
         const Played played = play(kLarge, times, threeRanks());
         const auto waited = static_cast<double>(sum(played.gates.waitedForTurnByRank));
@@ -123,15 +123,15 @@
     }
 }
 
-TEST(QuotaRanks, WhoIsRefusedIsNotToldToComeBackAtOnce) {
+TEST(QuotaRanks, ARefusedCallerIsNotAskedToRetryImmediately) {
     const Played played = play(kLarge, 6, threeRanks());
     for (const CallersServed::Rank& rank : played.served.ranks) {
-        CHECK_TRUE(static_cast<double>(rank.toldAtOnce) <=
+        CHECK_TRUE(static_cast<double>(rank.immediateRetries) <=
                    0.001 * static_cast<double>(rank.refusals));
     }
 }
 
-TEST(QuotaRanks, BelowItsLimitATenantIsServedWhateverTheRank) {
+TEST(QuotaRanks, BelowItsLimitATenantIsServedInEveryRank) {
     for (const TenantQuota& quota : {kSmall, kLarge}) {
         for (const CallersServed::Rank& rank : play(quota, 0.8, threeRanks()).served.ranks) {
             UNSIGNED_LONGS_EQUAL(0, rank.refused);
@@ -139,14 +139,17 @@
     }
 }
 
-TEST(QuotaRanks, WithOneRankNothingWaitsForATurn) {
+TEST(QuotaRanks, WithOneRankNoStatementWaitsForATurn) {
     const Played played = play(kLarge, 6, oneRank());
     UNSIGNED_LONGS_EQUAL(0, sum(played.gates.waitedForTurnByRank));
     UNSIGNED_LONGS_EQUAL(0, sum(played.quotas.deferredByRank));
     CHECK_TRUE(inTime(played.served.ranks[0]) < 0.5);
 }
 
-/** Loses the leader every 2.5 s. @return units that ran. */
+/**
+ * Stops the leader every 2.5 s.
+ * @return the number of units that ran.
+ */
 std::size_t ranWithLostLeaders(std::shared_ptr<const pooling::ServiceCatalog> catalog) {
     Callers callers(kLarge, 6, std::move(catalog));
     for (int round = 0; round < 6; ++round) {
@@ -159,8 +162,11 @@
     return callers.network.runCount();
 }
 
-/** Turns are soft: units are granted by whoever leads, no fewer than without turns. */
-TEST(QuotaRanks, ALeaderThatIsLostLosesTurnsAndDoublesNothing) {
+/**
+ * Turns are not part of the bound: whichever node leads grants the units, and no fewer of them than
+ * without turns.
+ */
+TEST(QuotaRanks, LosingALeaderLosesOnlyTurnsAndGrantsNoUnitTwice) {
     const auto without = static_cast<double>(ranWithLostLeaders(oneRank()));
     CHECK_TRUE(static_cast<double>(ranWithLostLeaders(threeRanks())) >= 0.9 * without);
 }
--- a/tests/tenancy/TenantGateTest.cpp
+++ b/tests/tenancy/TenantGateTest.cpp
@@ -16,7 +16,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** Connections never open: what reaches the pooler waits there. */
+/** Connections never open, so statements that reach the pooler stay queued there. */
 class SilentServers final : public pooling::ServerConnector {
 public:
     ConnectionId open(const pooling::ServerAddress& /*address*/, const TenantName& /*tenant*/,
@@ -98,7 +98,10 @@
         statement.verb = verb;
         gate.submit(session, statement);
     }
-    /** Services of two ranks, with objectives of 200 and 1,000 ms; another node accounts. */
+    /**
+     * Defines services of two ranks, with objectives of 200 and 1,000 ms; another node is the
+     * accounting node.
+     */
     void defineRanks() {
         auto catalog = std::make_shared<pooling::ServiceCatalog>();
         for (const std::uint32_t rank : {0U, 2U}) {
@@ -112,7 +115,7 @@
         define(2, {tenant("a", "key-a")});
         listAccountingNodes();
     }
-    /** The leader answers the newest question. */
+    /** Delivers the leader's response to the latest request. */
     void answer(std::uint32_t granted, Duration retryAfter = {}) {
         QuotaResponse answer;
         answer.granted = granted;
@@ -122,8 +125,10 @@
         answer.leader = NodeName("m1");
         quotas.onQuotaResponse(links.lastQuestion, answer);
     }
-    /** @return units that the newest question wants of a rank: part 0 of those that may wait, 1 of
-     * those in turn, 2 of those of now only. */
+    /**
+     * @return the number of units of a rank in the latest request: part 0 are units that may wait,
+     * part 1 units in turn, part 2 units that are of use only immediately.
+     */
     std::uint32_t wanted(std::size_t part, std::size_t rank) const {
         return links.lastAsked.wantedByRank.at(part * settings::kAdmissionRanks + rank);
     }
@@ -146,7 +151,7 @@
         }
         quotas.applyNodes(nodes);
     }
-    /** Opens a transaction of a tenant for which another node accounts. */
+    /** Begins a transaction of a tenant for which another node is the accounting node. */
     void beginWithAccountingNode() {
         listAccountingNodes();
         submit(open("key-a"), StatementVerb::Begin);
@@ -166,13 +171,13 @@
                         pooling::SuspicionReason /*reason*/) override {}
 };
 
-TEST(TenantGate, AServiceThatIsNotInTheSettingsOpensNoSession) {
+TEST(TenantGate, AnUnknownServiceOpensNoSession) {
     const SessionOpening opening = gate.openSession(ServiceName("other"), "key-a");
     CHECK_FALSE(opening.session.has_value());
     CHECK_TRUE(opening.refusal->fault == StatementFault::UnknownDatabase);
 }
 
-TEST(TenantGate, WithOldSettingsAnUnknownServiceIsNotCalledUnknown) {
+TEST(TenantGate, WithOutdatedSettingsAMissingServiceIsNotReportedAsUnknown) {
     clock.advance(milliseconds(3000));
     CHECK_TRUE(gate.openSession(ServiceName("other"), "key-a").refusal->fault ==
                StatementFault::UnknownDatabase);
@@ -187,7 +192,7 @@
     CHECK_TRUE(opening.refusal->fault == StatementFault::Unauthorized);
 }
 
-TEST(TenantGate, WithOldSettingsAnUnknownCredentialIsNotCalledUnknown) {
+TEST(TenantGate, WithOutdatedSettingsAMissingCredentialIsNotReportedAsUnknown) {
     clock.advance(milliseconds(4501));
     const SessionOpening opening = gate.openSession(ServiceName("db"), "key-c");
     CHECK_TRUE(opening.refusal->fault == StatementFault::Busy);
@@ -252,10 +257,10 @@
     CHECK_TRUE(replies.back().succeeded());
 }
 
-TEST(TenantGate, WhatLiesBeyondTheQuotaIsRefusedAtOnceWithTheTimeToComeBack) {
+TEST(TenantGate, AStatementBeyondTheQuotaIsRefusedAtOnceWithARetryDelay) {
     define(2, {tenant("a", "key-a", 2)});
     const SessionId session = open("key-a");
-    // (rate x window + burst) x (1 + overrun) + slack.
+    // The bound is (rate x window + burst) x (1 + overrun) + slack.
     constexpr std::size_t kBound = 33;
     std::size_t ran = 0;
     for (int unit = 0; unit < 1000; ++unit) {
@@ -274,7 +279,7 @@
     CHECK_TRUE(ran >= 28);
 }
 
-TEST(TenantGate, AStatementWaitsForTheAnswerOfTheAccountingNode) {
+TEST(TenantGate, AStatementWaitsForTheResponseOfTheAccountingNode) {
     beginWithAccountingNode();
     CHECK_TRUE(replies.empty());
     quotas.onQuotaResponse(links.lastQuestion,
@@ -283,7 +288,7 @@
     CHECK_TRUE(replies.back().succeeded());
 }
 
-TEST(TenantGate, AStatementWhoseAccountingNodeDoesNotAnswerEndsInTime) {
+TEST(TenantGate, AStatementIsRefusedInTimeIfTheAccountingNodeDoesNotRespond) {
     beginWithAccountingNode();
     clock.advance(milliseconds(699));
     CHECK_TRUE(*gate.nextTick() > clock.now());
@@ -294,7 +299,10 @@
     CHECK_TRUE(lastFault() == StatementFault::Busy);
 }
 
-/** A stop as planned closes idle sessions; this one has a statement, which would get no answer. */
+/**
+ * A planned shutdown closes idle sessions. A session with a queued statement must not count as
+ * idle, because the statement would get no reply.
+ */
 TEST(TenantGate, ASessionWhoseStatementWaitsForAUnitIsNotIdle) {
     beginWithAccountingNode();
     clock.advance(milliseconds(200));
@@ -303,7 +311,7 @@
     LONGS_EQUAL(0, closedSessions);
 }
 
-TEST(TenantGate, AStopRefusesAtOnceWhatWaitsForAUnit) {
+TEST(TenantGate, AShutdownImmediatelyRefusesStatementsQueuedForAUnit) {
     beginWithAccountingNode();
     pooler.finishWork();
     gate.passOnWaiting();
@@ -312,14 +320,14 @@
     LONGS_EQUAL(1, closedSessions);
 }
 
-TEST(TenantGate, AStopRefusesAtOnceWhatWouldWaitForAUnit) {
+TEST(TenantGate, AShutdownImmediatelyRefusesNewStatementsThatNeedAUnit) {
     pooler.finishWork();
     beginWithAccountingNode();
     LONGS_EQUAL(1, replies.size());
     CHECK_TRUE(lastFault() == StatementFault::Busy);
 }
 
-TEST(TenantGate, AStatementThatIsPutOffWaitsForItsTurnAndAsksAgainThen) {
+TEST(TenantGate, ADeferredStatementWaitsForItsTurnAndThenRequestsAgain) {
     defineRanks();
     submit(open("key-a", "urgent"), StatementVerb::Begin);
     UNSIGNED_LONGS_EQUAL(1, wanted(0, 0));
@@ -336,7 +344,7 @@
     UNSIGNED_LONGS_EQUAL(1, gate.statistics().turnsKeptByRank[0]);
 }
 
-TEST(TenantGate, AStatementWhoseTurnComesTooLateIsRefusedAtOnceWithTheTime) {
+TEST(TenantGate, AStatementWhoseTurnIsTooLateIsRefusedAtOnceWithARetryDelay) {
     defineRanks();
     submit(open("key-a", "urgent"), StatementVerb::Begin);
     answer(0, milliseconds(101));
@@ -348,7 +356,7 @@
     UNSIGNED_LONGS_EQUAL(1, gate.statistics().refusedQuotaByRank[0]);
 }
 
-TEST(TenantGate, AStatementThatIsPutOffAnewDoesNotWaitBeyondItsUse) {
+TEST(TenantGate, AStatementDeferredAgainDoesNotWaitLongerThanIsUseful) {
     defineRanks();
     submit(open("key-a", "urgent"), StatementVerb::Begin);
     answer(0, milliseconds(90));
@@ -358,8 +366,10 @@
     CHECK_TRUE(lastFault() == StatementFault::Busy);
 }
 
-/** Each answer is followed by a question for those that came meanwhile, so an answer is always
- * under way: the first of them must not wait for as long as others come. */
+/**
+ * Each response is followed by a request for the statements that arrived meanwhile, so a response
+ * is always pending under overload. The first statement must not wait for as long as others arrive.
+ */
 TEST(TenantGate, InAFloodNobodyWaitsLongerThanForALateAnswer) {
     defineRanks();
     const SessionId first = open("key-a", "patient");
@@ -372,13 +382,13 @@
     CHECK_TRUE(replies.size() >= 5);
     UNSIGNED_LONGS_EQUAL(0, ran());
     CHECK_TRUE(pooler.stateOfSession(first) == SessionState::Idle);
-    // It may ask again, so it waits for nothing.
+    // The gate may send a request again, so the statement waits for no response.
     const std::size_t before = replies.size();
     submit(first, StatementVerb::Rollback);
     UNSIGNED_LONGS_EQUAL(before + 1, replies.size());
 }
 
-TEST(TenantGate, TheMostUrgentStatementTakesTheUnitThatIsThere) {
+TEST(TenantGate, TheMostUrgentStatementTakesTheAvailableUnit) {
     defineRanks();
     const SessionId patient = open("key-a", "patient");
     submit(patient, StatementVerb::Begin);
@@ -389,7 +399,7 @@
     CHECK_TRUE(pooler.stateOfSession(patient) == SessionState::Idle);
 }
 
-TEST(TenantGate, ACallerWhoLeavesLeavesTheQueue) {
+TEST(TenantGate, ADisconnectedCallerIsRemovedFromTheQueue) {
     defineRanks();
     const SessionId first = open("key-a", "patient");
     submit(first, StatementVerb::Begin);
@@ -403,7 +413,7 @@
     UNSIGNED_LONGS_EQUAL(1, ran());
 }
 
-TEST(TenantGate, TheFirstArrivalCountsOverReturnsWithTheSameStatement) {
+TEST(TenantGate, TheFirstArrivalCountsAcrossRetriesOfTheSameStatement) {
     defineRanks();
     const SessionId returning = open("key-a", "patient");
     submit(returning, StatementVerb::Begin);
@@ -418,7 +428,7 @@
     CHECK_TRUE(pooler.stateOfSession(younger) == SessionState::Idle);
 }
 
-TEST(TenantGate, WhoWouldBeLateAfterAWaitAsksForAUnitOfNowOnly) {
+TEST(TenantGate, AStatementThatCannotWaitRequestsAnImmediateUnit) {
     defineRanks();
     const SessionId session = open("key-a", "urgent");
     submit(session, StatementVerb::Begin);
@@ -431,7 +441,7 @@
     UNSIGNED_LONGS_EQUAL(2, replies.size());
 }
 
-TEST(TenantGate, WithOneRankWhatIsPutOffIsRefusedAtOnce) {
+TEST(TenantGate, WithOneRankADeferredStatementIsRefusedAtOnce) {
     beginWithAccountingNode();
     CHECK_TRUE(links.lastAsked.wantedByRank.empty());
     answer(0, milliseconds(1));
@@ -439,7 +449,7 @@
     CHECK_TRUE(replies.back().error->retryAfter == milliseconds(1));
 }
 
-TEST(TenantGate, AStopRefusesAtOnceWhatWaitsForItsTurn) {
+TEST(TenantGate, AShutdownImmediatelyRefusesStatementsWaitingForTheirTurn) {
     defineRanks();
     submit(open("key-a", "patient"), StatementVerb::Begin);
     answer(0, milliseconds(300));
