--- a/src/admission/AdmissionPolicy.cpp
+++ b/src/admission/AdmissionPolicy.cpp
@@ -51,7 +51,7 @@
         LaneCounts& before = ahead[statement.statementClass];
         LaneCounts counted = before;
         if (queued && laneOf(statement, now) == Lane::OnTime) {
-            // Statements that are late already precede this statement once it becomes late itself.
+            // Once this statement is late, it follows the statements that are late already.
             counted.late = _waiting[statement.statementClass].late;
         }
         const std::optional<Duration> wait =
--- a/src/admission/AdmissionPolicy.h
+++ b/src/admission/AdmissionPolicy.h
@@ -57,7 +57,7 @@
 
     /**
      * Reviews all queued statements.
-     * @param applicants in the order in which they are to be placed.
+     * @param statements in the order in which they are to be placed.
      * @return the statements to refuse.
      */
     std::vector<ForecastRefusal> review(TimePoint now,
--- a/src/admission/ObstacleTimes.cpp
+++ b/src/admission/ObstacleTimes.cpp
@@ -14,7 +14,7 @@
 
 void ObstacleTimes::noteSeen(std::string_view name, TimePoint now) {
     Obstacle& obstacle = _obstacles[name];
-    // No review may have taken place since the previous obstacle ended.
+    // If no review took place since the previous occurrence ended, that occurrence is still open.
     endIfOver(obstacle, now);
     if (!obstacle.since) {
         obstacle.since = now;
--- a/src/admission/WaitingQueue.h
+++ b/src/admission/WaitingQueue.h
@@ -97,7 +97,8 @@
                               std::size_t from) const;
 
     std::unordered_map<SessionId, Entry> _entries;
-    /** `order` moves statements that have become late since; callers can't observe that change. */
+    /** Mutable because `order` moves statements that have become late behind those on time; callers
+     * can't observe that change. */
     mutable std::map<std::uint32_t, RankQueue> _ranks;
     /** Numbers entries in the order in which they were added. */
     std::uint64_t _lastNumber = 0;
--- a/src/base/Identifier.h
+++ b/src/base/Identifier.h
@@ -37,7 +37,7 @@
 using ServiceName = Identifier<struct ServiceNameTag, std::string>;
 /** Name of a tenant: whom a caller's credential belongs to. Empty for callers without one. */
 using TenantName = Identifier<struct TenantNameTag, std::string>;
-/** Name of one life of a database server, unique in its group; see pooling/ServerLife. */
+/** Name of one life of a database server, unique in its group; see pooling/ServerIncarnation. */
 using ServerName = Identifier<struct ServerNameTag, std::string>;
 /** Name of a proxy node, unique in the estate. */
 using NodeName = Identifier<struct NodeNameTag, std::string>;
--- a/src/contract/AdmissionQueue.h
+++ b/src/contract/AdmissionQueue.h
@@ -65,7 +65,10 @@
     /** @return whether a statement of the class would start at once if it were pushed now. */
     bool hasRoomFor(AdmissionClass admissionClass) const;
 
-    /** @return whether the queue is so long that a new statement waits for two rounds or more. */
+    /**
+     * @return whether at least kCrowdedRounds statements per slot are queued, so that a new
+     * statement waits until each slot has executed at least that many.
+     */
     bool isCrowded() const { return queued() >= kCrowdedRounds * _limits.slots; }
 
     /**
--- a/src/contract/ExecutorRouting.cpp
+++ b/src/contract/ExecutorRouting.cpp
@@ -188,8 +188,8 @@
 }
 
 /**
- * @return whether a read leaves a crowded replica for the primary. It does so only when it can
- *         start there at once, without delaying other statements.
+ * @return whether a read runs on the primary because the replica's queue is crowded. It does so
+ *         only when it can start on the primary at once, without delaying other statements.
  */
 bool ExecutorCore::overflowsToPrimary(const RequestContext& context,
                                       const ServerName& replica) const {
--- a/src/contract/GroupRouter.h
+++ b/src/contract/GroupRouter.h
@@ -1,4 +1,7 @@
-/** Chooses the proxy that executes each batch, and retries on another one when that proxy can't. */
+/**
+ * Chooses the proxy that executes each batch, and retries on another proxy when the first one can't
+ * execute the batch.
+ */
 #pragma once
 
 #include <chrono>
--- a/src/failover/FailoverTiming.h
+++ b/src/failover/FailoverTiming.h
@@ -29,8 +29,8 @@
 /** A record that its holder has not changed for this time may be taken over. */
 constexpr Duration kTakeOverAfter = std::chrono::milliseconds(3300);
 /**
- * After a promotion, only its holder may promote again within this time. Otherwise nodes could
- * promote alternately.
+ * After a promotion, only the node that carried it out may promote again within this time.
+ * Otherwise nodes could promote alternately.
  */
 constexpr Duration kHolderExclusiveTime = std::chrono::milliseconds(3300);
 /**
@@ -51,11 +51,14 @@
 constexpr Duration kConflictPause = std::chrono::milliseconds(250);
 constexpr Duration kStorePause = std::chrono::milliseconds(150);
 /**
- * Longest pause after reads of the store that failed. All nodes that may promote in a group may see
- * the same signs while the store is unavailable, and the store charges for each of their calls.
+ * Longest pause after reads of the store that failed. All nodes that may promote in a group may
+ * observe the same condition while the store is unavailable, and the store charges for each of
+ * their calls.
  */
 constexpr Duration kLongestStorePause = std::chrono::milliseconds(800);
-/** Random delay before a record is claimed, because nodes see the same signs at once. */
+/**
+ * Random delay before a record is claimed, because nodes may observe the same condition at once.
+ */
 constexpr std::uint64_t kClaimJitterMs = 60;
 /**
  * Nodes act one after another on a condition that all of them see at once: each node waits this
--- a/src/failover/GroupFailover.cpp
+++ b/src/failover/GroupFailover.cpp
@@ -325,7 +325,7 @@
     }
     _stopping = true;
     orderStepDown();
-    // Evaluated in each step, because a replica that restarts loses its pause.
+    // Evaluated in each step, because a replica that restarts loses the order to stop receiving.
     const CommitQuorum quorum = viewMembers(now);
     logWaiting(quorum, now);
     if (quorum.mayAcknowledge()) {
--- a/src/failover/MemberLink.h
+++ b/src/failover/MemberLink.h
@@ -52,7 +52,8 @@
      */
     bool isSilentFor(Duration time, TimePoint now) const;
 
-    /** @return whether the last attempt to connect failed without a refusal from the server. */
+    /** @return whether the last attempt to connect failed without an error response of the server.
+     */
     bool isRefused() const { return _refused; }
 
     /** @return whether another server responded at the address, so that this server has ended. */
--- a/src/failover/MemberSurvey.cpp
+++ b/src/failover/MemberSurvey.cpp
@@ -76,7 +76,7 @@
 
 /**
  * A member that does not respond may lead, so no other member may receive. A replica that has
- * restarted has lost its pause and is ordered again.
+ * restarted has lost the order to stop receiving, so the order is sent again.
  */
 void GroupFailover::pauseReceivers(const CommitQuorum& quorum, TimePoint now) {
     if (quorum.formerLeader() != nullptr) {
--- a/src/failover/PromotionRecord.h
+++ b/src/failover/PromotionRecord.h
@@ -79,7 +79,7 @@
 /**
  * Compares the newest record that a node knows with the record shown by a store that may have been
  * restored from an older copy.
- * @return whether the store lacks what is known.
+ * @return whether the store lacks a state that the node knows.
  */
 bool isLater(const PromotionRecord& known, const PromotionRecord& shown);
 
@@ -96,7 +96,10 @@
     StoreVersion version;
 };
 
-/** The store. Each callback is called once, later, on the same thread. */
+/**
+ * The store of the promotion records. Each callback is called once, after the call that requested
+ * it has returned, on the same thread.
+ */
 class PromotionStore {
 public:
     virtual ~PromotionStore() = default;
--- a/src/failover/PromotionSteps.cpp
+++ b/src/failover/PromotionSteps.cpp
@@ -87,7 +87,8 @@
         return;
     }
     if (now - _announcedAt > kCallMargin) {
-        // The basis of the choice may have changed since: a replica that restarts receives again.
+        // The members' states on which the choice is based may have changed since, because a
+        // replica that restarts receives again.
         enterSecuring(now);
         return;
     }
@@ -175,8 +176,10 @@
 }
 
 /**
- * A pause names a term above every announced term. If an announcement took no effect, the successor
- * leads a lower term, and the pause would outlast the promotion.
+ * Orders the replicas to receive again that would stay paused after the promotion. An order to stop
+ * receiving names a term above every announced term, and keeps the replica from receiving from a
+ * leader of a lower term. If an announcement took no effect, the successor leads a lower term, and
+ * the replica would stay paused.
  * @return whether a replica that this promotion paused is not known to receive again.
  */
 bool GroupFailover::resumeReceivers(TimePoint now) {
--- a/src/failover/StoreReturn.cpp
+++ b/src/failover/StoreReturn.cpp
@@ -117,7 +117,7 @@
 
 /**
  * A lost promotion has neither a claim nor a node that drives it, and nothing else would end it:
- * writes find no receiver, while the primary responds to every query. Until calls of lost
+ * no replica receives the writes, while the primary responds to every query. Until calls of lost
  * promotions can have no effect any more, a node may still drive it. A promotion ends it rather
  * than a mere order to resume, because a server that was ordered to step down may not lead any
  * more.
--- a/src/failover/SuccessorChoice.cpp
+++ b/src/failover/SuccessorChoice.cpp
@@ -77,8 +77,8 @@
 
 /**
  * Chooses the most suitable of the servers that certainly have all acknowledged commits. A server
- * that cannot serve its callers leads only if no more suitable server can lead in time; that
- * includes the former primary if it is more suitable.
+ * that cannot serve its callers leads only if no more suitable server can lead in time; the
+ * more suitable server may be the former primary.
  */
 std::optional<ServerName> GroupFailover::chooseSuccessor(const CommitQuorum& quorum,
                                                          TimePoint now) const {
--- a/src/locality/HomeRegions.h
+++ b/src/locality/HomeRegions.h
@@ -10,7 +10,7 @@
 namespace coralhoist::locality {
 
 /** Either unrestricted or a set of regions. An empty set is a restriction that no region satisfies.
- * A zone whose region is not known is in no home. */
+ * A zone whose region is not known is in no home region. */
 class HomeRegions {
 public:
     /** Unrestricted. */
@@ -27,7 +27,7 @@
     /** @return whether no region satisfies the restriction. */
     bool excludesAll() const { return _binds && _regions.empty(); }
 
-    /** @return whether a machine of the zone is in a home. */
+    /** @return whether the restriction allows the region of the zone. */
     bool allow(const RegionMap& map, const ZoneName& zone) const;
 
     /** @return the regions; empty also when unrestricted. */
--- a/src/placement/EvacuationPolicy.cpp
+++ b/src/placement/EvacuationPolicy.cpp
@@ -11,7 +11,7 @@
 
 constexpr const char* kReason = "zone_evacuated";
 /** Upper bound of a planned handover, counted from when one could begin: claiming it, surveying the
- * replicas, catching up and calling the promotion. */
+ * replicas, catching up and requesting the promotion. */
 constexpr Duration kHandover = std::chrono::milliseconds(2000);
 
 }  // namespace
--- a/src/pooling/CapacityShares.cpp
+++ b/src/pooling/CapacityShares.cpp
@@ -11,9 +11,9 @@
 /** A statement that found no room is assumed to be still queued for this time: the pooler retries
  * each queued statement every 50 ms. */
 constexpr Duration kStillQueuedFor = std::chrono::milliseconds(120);
-/** A rank is served before the higher ones as far as its demand fills the slots for this time,
- * which is about the time of one statement. With a longer time, queued statements of a low rank
- * would wait behind running statements of a high one. */
+/** The part of a rank's demand that fills the slots for up to this time is served before higher
+ * ranks. The time is about that of one statement. With a longer time, queued statements of a low
+ * rank would wait behind running statements of a high one. */
 constexpr Duration kRankHorizon = std::chrono::milliseconds(50);
 /** A turn that is used late by no more than this does not delay the next one: the pooler checks its
  * queue at least every 50 ms. */
--- a/src/pooling/CapacityShares.h
+++ b/src/pooling/CapacityShares.h
@@ -51,8 +51,9 @@
  * While the total is more than all servers take at once, each executor limits itself to its share
  * of each server's capacity: the ratio of its demand to the demand of all executors, rank by rank.
  * Shares limit an executor at the primary, because the primary's work can't run elsewhere, and at
- * servers that refused a statement; the share of another replica is seldom where the executor's
- * work is, and would leave slots idle. The overload ends when the demand fits the servers.
+ * servers that refused a statement for lack of room. Shares do not limit it at other replicas: the
+ * statements of an executor are seldom distributed over the replicas in proportion to its shares,
+ * so such limits would leave slots idle. The overload ends when the demand fits the servers.
  *
  * Executors that send no report are assumed to use an equal part. Outside an overload there are no
  * shares and no messages.
--- a/src/pooling/CatchUpEstimate.cpp
+++ b/src/pooling/CatchUpEstimate.cpp
@@ -12,8 +12,8 @@
 /** Time over which a rate is computed: over a shorter time, gaps between commits would count as
  * pauses of the replica. */
 constexpr Duration kRateSpan = std::chrono::milliseconds(200);
-/** Up to this lag a replica counts as one that keeps up, whatever its last rate was: the floors of
- * callers who accept some staleness are older than that. */
+/** A replica whose lag is at most this counts as one that keeps up, whatever its last rate was: the
+ * positions that callers with a staleness bound require are older than this lag. */
 constexpr Duration kKeepsUpWithin = std::chrono::milliseconds(300);
 /** Below this rate a replica counts as making no progress: callers time out before it reaches the
  * position that it lacks. */
@@ -21,14 +21,14 @@
 /** Upper bound of the rate. A replica that advances faster skips the part of the log that delayed
  * it, and reaches the remaining positions after its usual lag. */
 constexpr double kHighestRate = 20;
-/** A position that the replica lacked when it was last observed is not expected before this time:
- * it is a network round trip. */
+/** Minimum time from the last observation of a replica until a position that the replica lacked
+ * then is expected: the time of a network round trip. */
 constexpr Duration kEarliestProgress = std::chrono::milliseconds(10);
 /** A rate is extrapolated for no longer than this. */
 constexpr Duration kExtrapolationLimit = std::chrono::seconds(1);
 /** An observation that is older than this is verified by a read. A read that is refused costs its
- * caller a round trip, whereas a replica that has caught up unnoticed costs the primary all the
- * reads of that time. */
+ * caller a round trip, whereas all reads go to the primary for as long as this node does not
+ * observe that the replica has caught up. */
 constexpr Duration kVerifiedAfter = std::chrono::milliseconds(250);
 
 }  // namespace
--- a/src/pooling/CatchUpEstimate.h
+++ b/src/pooling/CatchUpEstimate.h
@@ -18,9 +18,9 @@
 /**
  * The known progress of one replica during one incarnation.
  *
- * Limits the cost of replicas that fall behind: a read that a lagging replica refuses reaches the
- * server that runs it late, and a read that goes to the primary although a replica has its
- * position, or will have it shortly, takes a slot from work that only the primary can run.
+ * Limits the cost of replicas that fall behind: a read that a lagging replica refuses is late when
+ * it reaches the server that runs it, and a read that goes to the primary although a replica has
+ * its position, or will have it shortly, takes a slot from work that only the primary can run.
  *
  * Time is measured on the log: the lag is the time since the log went beyond the replica's
  * position. A replica that keeps up reaches a position one lag after the log did; one that catches
--- a/src/pooling/LeadershipProof.h
+++ b/src/pooling/LeadershipProof.h
@@ -35,7 +35,8 @@
 
 /** The promotion records as the store held them at one moment. */
 struct LeadershipProof {
-    /** A time of this node's clock that is not later than that moment. */
+    /** A time of this node's clock that is not later than the moment at which the store held the
+     * records. */
     TimePoint provenAt{};
     RecordVersions recordVersions;
     /** Era of the store that returned them. */
--- a/src/pooling/LeadershipTracker.h
+++ b/src/pooling/LeadershipTracker.h
@@ -62,8 +62,9 @@
 /**
  * Leadership of one group. Invariants: the newest known term never decreases; a server that has
  * reported only a lower term is not treated as the primary; once a promotion is recorded, only its
- * successor is. A leader that the record does not name was promoted by a call that took effect
- * late: the record proves nothing about it, and it may lack commits of the successor.
+ * successor is treated as the primary. A leader that the record does not name was promoted by a
+ * call that took effect late: the record proves nothing about it, and it may lack commits of the
+ * successor.
  */
 class LeadershipTracker {
 public:
@@ -113,8 +114,8 @@
 
     /**
      * The successor of the newest promotion has a commit of another server only if the commit's
-     * term is that of the successor's own log when it was chosen, and its position is not above
-     * that log's.
+     * position has the term of the last position in the successor's log at the time when the
+     * successor was chosen, and is not above that last position.
      * @param sentAt when the commit was sent to the server that acknowledged it.
      * @return whether the commit at that position may be lost.
      */
--- a/src/pooling/NodeRanking.cpp
+++ b/src/pooling/NodeRanking.cpp
@@ -8,7 +8,7 @@
 namespace coralhoist::pooling {
 namespace {
 
-/** A node of a list that outlives this entry. */
+/** The rank of a node, and a pointer to its name in a list that outlives this entry. */
 struct Entry {
     std::uint64_t rank = 0;
     const NodeName* name = nullptr;
--- a/src/pooling/OutlierDetector.cpp
+++ b/src/pooling/OutlierDetector.cpp
@@ -7,11 +7,12 @@
 namespace coralhoist::pooling {
 namespace {
 
-/** Length of one part of the window. All parts together are one second: that covers a few reads of
- * a little-used server, and is no longer than callers' timeouts with a failing one. */
+/** Length of one part of the window. All parts together are one second: long enough for a few reads
+ * of a little-used server, and no longer than the time that callers of a failing server wait until
+ * their timeout. */
 constexpr Duration kPartLength = std::chrono::milliseconds(250);
-/** Fewer requests, or fewer failures, may be chance: under overload some reads time out at every
- * server. */
+/** Minimum numbers of requests and of failures for which a server is evaluated. Smaller numbers may
+ * be chance: under overload some reads time out at every server. */
 constexpr std::uint32_t kLeastRequests = 8;
 constexpr std::uint32_t kLeastFailures = 5;
 /** One failure in this many requests makes a server an outlier. */
@@ -23,7 +24,8 @@
  * costs a burst of statements their capacity. */
 constexpr Duration kShortestEjection = std::chrono::milliseconds(500);
 constexpr Duration kLongestEjection = std::chrono::seconds(2);
-/** Successes in a row, and failures, that end a probation: a single failure may be chance. */
+/** Number of successes in a row after which a server on probation is admitted, and number of
+ * failures after which it is ejected again: a single failure may be chance. */
 constexpr std::uint32_t kSuccessesToAdmit = 5;
 constexpr std::uint32_t kFailuresToEject = 2;
 /** After this time without an ejection, the next ejection counts as the first again. */
--- a/src/pooling/OutlierDetector.h
+++ b/src/pooling/OutlierDetector.h
@@ -29,10 +29,11 @@
  * Evaluates the servers of one group by the outcomes of requests in a sliding window.
  *
  * Covers servers that are slow, fail partially or hang although their health check passes: only
- * requests reveal them. The threshold is a third of requests lost, because a lost read is late by
- * its whole timeout, several times what a queue at the other servers costs it; below that share the
- * queue costs more. The same holds for times: a statement that meets its objective at the other
- * servers with a usual margin misses it at a server that takes three times as long.
+ * requests reveal them. A server is ejected when a third of its requests fail or are lost: a lost
+ * read is late by its whole timeout, which is several times the delay that longer queues at the
+ * other servers would cause. When a smaller share is lost, these longer queues cost more than the
+ * lost reads. The same holds for times: a statement that meets its objective at the other servers
+ * with a usual margin misses it at a server that takes three times as long.
  *
  * Requests that fail at the other servers as well are attributed to the callers, and eject no
  * server. At most half of the servers are ejected at once: the rest must be able to run the load.
--- a/src/pooling/PlannedStop.cpp
+++ b/src/pooling/PlannedStop.cpp
@@ -7,7 +7,8 @@
 
 using std::chrono::milliseconds;
 
-/** New connections may still arrive until the clients have seen that the node is not ready. */
+/** Connections are accepted for this time after the stop begins: new connections may arrive until
+ * the clients have seen that the node is not ready. */
 constexpr Duration kAcceptsFor = milliseconds(2300);
 /** Idle time after which a session is closed during the stop. */
 constexpr Duration kIdleBeforeClose = milliseconds(100);
--- a/src/pooling/PlannedStop.h
+++ b/src/pooling/PlannedStop.h
@@ -18,8 +18,8 @@
     virtual void stopListening() = 0;
 
     /**
-     * Passes on to the pooler the statements that wait in front of it; the pooler begins no new
-     * work.
+     * Submits to the pooler the statements that are queued before admission. The pooler begins no
+     * new work by then, so it refuses each of them with a reply.
      */
     virtual void passOnWaiting() = 0;
 
@@ -29,11 +29,13 @@
 
 /**
  * Ends the sessions of one process within the given grace period. Single-threaded.
- * | Connections are accepted until callers no longer open any; then idle sessions are closed. In
+ *
+ * Connections are accepted until callers no longer open any; then idle sessions are closed. In
  * the second half of the grace period no new work is begun, since another node can serve it at
  * once, and open transactions are ended. Responses to statements that were sent to a server are
  * awaited until only the time to write the responses is left.
- * | Invariant: when the process may exit, every statement that was received has been answered.
+ *
+ * Invariant: when the process may exit, every statement that was received has been answered.
  */
 class PlannedStop {
 public:
--- a/src/pooling/PoolerAdmission.cpp
+++ b/src/pooling/PoolerAdmission.cpp
@@ -25,8 +25,9 @@
  */
 constexpr Duration kMinimumSlotTime = std::chrono::milliseconds(15);
 /**
- * A caller that retries near the end of its timeout is held beyond the timeout by this fraction
- * (1/n) of it: the retry shows that the caller has not given up the statement.
+ * A statement that its caller retries near the end of the statement timeout is held beyond that
+ * timeout by a fraction (1/n) of the timeout: the retry shows that the caller has not abandoned the
+ * statement.
  */
 constexpr int kRetryHoldDivisor = 10;
 /**
@@ -89,8 +90,8 @@
 }
 
 /**
- * Records a refused statement that the caller may retry, or that the caller's statement was
- * answered.
+ * Records the statement if it was refused, so that a retry of it is recognized, or records that the
+ * statement succeeded.
  */
 void StatementPooler::noteAsked(PooledSession& session, const StatementResult& result) {
     const Operation& operation = *session.operation;
--- a/src/pooling/PoolerConnections.cpp
+++ b/src/pooling/PoolerConnections.cpp
@@ -1,4 +1,4 @@
-/** Connections to servers: opened, released, abandoned, lost. */
+/** Handling of connections to servers when they are opened, released, abandoned or lost. */
 #include <algorithm>
 #include <utility>
 
@@ -112,8 +112,8 @@
 }
 
 /**
- * The session is outside any transaction from now on; the caller of this function ends what the
- * session had open.
+ * Marks the session as outside any transaction. The caller of this function must end the
+ * transaction on the server or on the executing node.
  */
 void StatementPooler::forgetTransaction(PooledSession& session) {
     session.transaction = SessionTransaction{};
--- a/src/pooling/PoolerDispatch.cpp
+++ b/src/pooling/PoolerDispatch.cpp
@@ -191,7 +191,7 @@
     wakeAt(session, operation.replicaAt);
 }
 
-/** @return the path to a server of another region; an empty path to a server of the own region. */
+/** @return the network round trip to the server; zero for a server of this node's region. */
 ServerRoundTrip StatementPooler::wayTo(const ServerState& server) const {
     return {_distances == nullptr ? Duration(0) : _distances->to(server.zone, _clock.now()).time};
 }
@@ -217,7 +217,8 @@
     return primary && primary->server == server.address.server;
 }
 
-/** @return whether half of the server's limit for this process is in use, or the server refuses. */
+/** @return whether at least half of this process's in-flight limit for the server is in use, or
+ * sending to the server is paused after a refusal. */
 bool StatementPooler::isHalfUsed(const ServerState& server) const {
     return _clock.now() < server.busyUntil || server.inflight * 2 >= server.inflightLimit;
 }
--- a/src/pooling/PoolerKnobs.h
+++ b/src/pooling/PoolerKnobs.h
@@ -68,8 +68,8 @@
      */
     double inflightPerSlot = 1.5;
     /**
-     * Factor applied to that limit when the server had no capacity, and its increase with each
-     * success.
+     * Factor applied to the limit of statements in flight when the server had no capacity, and the
+     * increase of the limit with each success.
      */
     double inflightDecrease = 0.7;
     double inflightIncrease = 0.1;
--- a/src/pooling/PoolerQueue.cpp
+++ b/src/pooling/PoolerQueue.cpp
@@ -178,8 +178,9 @@
 }
 
 /**
- * Schedules one review for each time: a statement is reviewed with every event of its group. A
- * promotion that is being prepared has no known end time; its end is an event.
+ * Schedules a review of the statement for the time at which the primary may be written to. Only one
+ * review is scheduled for each time, because a statement is also reviewed with every event of its
+ * group. A promotion that is being prepared has no known end time; its end is such an event.
  */
 void StatementPooler::wakeWhenWritable(PooledSession& session, TimePoint at) {
     if (at > _clock.now() && session.operation->writableAt != at) {
--- a/src/pooling/PoolerResults.cpp
+++ b/src/pooling/PoolerResults.cpp
@@ -168,8 +168,8 @@
 }
 
 /**
- * Slow start: the in-flight limit of a replica that is admitted again grows as the replica
- * responds.
+ * Ejects and admits servers. A replica that is admitted again is subject to slow start: its
+ * in-flight limit restarts at one statement and grows as the replica responds.
  */
 void StatementPooler::reviewOutliers(const GroupName& name, GroupState& group) {
     std::vector<ServerName> serving;
--- a/src/pooling/PoolerStatistics.h
+++ b/src/pooling/PoolerStatistics.h
@@ -59,7 +59,7 @@
      * they are open.
      */
     std::uint64_t transactionsEndedByPlacement = 0;
-    /** The two counts above, by the policy's reason. */
+    /** The counts refusedByPlacement and transactionsEndedByPlacement by the policy's reason. */
     std::map<std::string, std::uint64_t> refusedByReason;
     std::map<std::string, std::uint64_t> endedByReason;
     /**
--- a/src/pooling/PrimaryWatch.cpp
+++ b/src/pooling/PrimaryWatch.cpp
@@ -47,8 +47,9 @@
 }
 
 /**
- * Checked before silence: where writes hold all connections the server seems silent, yet it
- * responds to a status request, so a suspicion of silence would be dismissed.
+ * This check precedes the check for silence: where unanswered writes hold all connections, the
+ * server seems silent although it responds to a status request, so a suspicion of silence would be
+ * dismissed.
  */
 bool PrimaryWatch::leavesWritesUnanswered(const ServerState& primary, TimePoint now) const {
     return std::any_of(_writes.begin(), _writes.end(), [&](const auto& entry) {
--- a/src/pooling/ProofExchange.cpp
+++ b/src/pooling/ProofExchange.cpp
@@ -11,8 +11,8 @@
 
 using std::chrono::milliseconds;
 
-/** Maximum age of a proof that this node can use: the rest of the lease (500 ms) is time for reads.
- */
+/** Maximum age of a proof that this node can use: the rest of the lease (500 ms) remains for the
+ * reads that rely on the proof. */
 constexpr Duration kUsableAge = milliseconds(300);
 /** A node that requests a proof for others requires one that is younger by this factor. */
 constexpr int kAgePerLevel = 2;
@@ -45,7 +45,8 @@
 void ProofExchange::noteRecord(const StoreVersion& version) {
     if (version > _newestKnown) {
         _newestKnown = version;
-        // The proof that a record was closed is requested at once.
+        // A proof that includes the new version is requested without the remaining pause, because
+        // it may show that the promotion has ended.
         _nextAttempt = std::min(_nextAttempt, _dependencies.clock.now());
     }
 }
@@ -95,7 +96,9 @@
     });
 }
 
-/** Nodes that asked before the moment of the proof can't get a proof that serves them better. */
+/** Sends the proof to nodes that asked before the moment of the proof, whatever maximum age they
+ * require: no other proof could serve them better. Nodes that know a newer record continue to wait.
+ */
 void ProofExchange::handOutToEarlier(TimePoint now) {
     std::erase_if(_askers, [this, now](const WaitingAsker& waiting) {
         const bool helps =
--- a/src/pooling/ReaderTree.cpp
+++ b/src/pooling/ReaderTree.cpp
@@ -14,7 +14,8 @@
 /** A zone has one reader for this many nodes: each node asks up to about five times a second, and a
  * response costs the reader some 50 us of processor time. */
 constexpr std::size_t kNodesPerReader = 32;
-/** Number of nodes that a reader may ask, so that the loss of one does not require the store. */
+/** Number of nodes that a reader may ask: when one is lost, the reader asks another one and need
+ * not read the store. */
 constexpr std::size_t kCandidatesOfReader = 2;
 constexpr const char* kZoneKey = "readers of a zone";
 constexpr const char* kEstateKey = "readers of the estate";
@@ -26,7 +27,7 @@
 /** A node that may read for other nodes. */
 struct Reader {
     NodeName name;
-    /** Nodes of a higher class have at least about four times the forwarding capacity. */
+    /** The forwarding capacities within one class differ by less than a factor of four. */
     unsigned capacityClass = 0;
 };
 using Readers = std::vector<Reader>;
@@ -108,7 +109,8 @@
     return rankedAbove(self.name, firsts);
 }
 
-/** @return the zone's readers, starting with different ones for different nodes, then the spare. */
+/** @return the zone's readers in an order that depends on the name of this node, so that different
+ * nodes ask different readers first; the spare follows. */
 std::vector<NodeName> readersFor(const NodeName& self, const Readers& readers,
                                  const Readers& withSpare) {
     std::vector<NodeName> candidates = rankedNodes(self.value(), namesOf(readers));
--- a/src/pooling/ServerChoice.cpp
+++ b/src/pooling/ServerChoice.cpp
@@ -5,8 +5,8 @@
 namespace coralhoist::pooling {
 namespace {
 
-/** Added for a server that seems to have failed or is slow: it exceeds the time that callers wait,
- * so the server is chosen only when no other has room. */
+/** Cost added for a server that seems to have failed or is slow. The cost exceeds the time that
+ * callers wait, so the server is chosen only when no other server has room. */
 constexpr Duration kLastResortCost = std::chrono::seconds(1);
 
 }  // namespace
@@ -58,8 +58,8 @@
     return candidate.readyIn <= maximumWait;
 }
 
-/** The time observed at the server includes the queue as it was; units in flight from this process
- * are added to it. */
+/** The observed time of the unit includes the wait in the server's queue when the time was
+ * observed; the present utilization by units of this process is added to it. */
 Duration ServerChoice::completionAt(const ServerCandidate& candidate) {
     const double utilization = candidate.inflight / std::max(1.0, candidate.concurrency);
     const auto unitTime = static_cast<double>(candidate.unitTime.count());
--- a/src/pooling/ServerChoice.h
+++ b/src/pooling/ServerChoice.h
@@ -8,7 +8,7 @@
 
 namespace coralhoist::pooling {
 
-/** How far a server is trusted, from the outcomes of the requests sent to it. */
+/** Whether a server receives work, according to the outcomes of the requests sent to it. */
 enum class ServerStanding {
     Admitted,
     Slow,        /**< Takes only work for which the other servers have no room. */
@@ -57,9 +57,10 @@
 /**
  * Chooses by the time at which a unit is expected to be complete.
  *
- * Handles servers that differ in speed: a server's slowness is measured on the same kind of
- * statement, not on its whole mix. A sum of penalties by mean latency mistakes a server that runs
- * longer statements for a slow one, and sends reads that any server could run to the primary.
+ * Handles servers that differ in speed: a server's slowness is measured by comparing statements of
+ * the same kind, not all statements that the server runs. A sum of penalties that includes the mean
+ * latency would mistake a server that runs longer statements for a slow one, and would send reads
+ * that any server could run to the primary.
  *
  * A unit waits for a server that lacks its position only where the unit completes sooner there than
  * at the other servers and the wait is within the given time; that time bounds what callers lose by
--- a/src/pooling/ServerConnections.cpp
+++ b/src/pooling/ServerConnections.cpp
@@ -12,8 +12,8 @@
 /** Minimum time between two verifications of the idle connections of a server that sometimes does
  * not respond. */
 constexpr Duration kVerificationPause = std::chrono::milliseconds(500);
-/** A connection that has not run anything is not closed for another tenant within this time: its
- * statement takes it within one round of the event loop, 1 ms at most. */
+/** A connection that has not run anything is not closed for another tenant within this time: the
+ * statement for which it was opened is sent within one round of the event loop (at most 1 ms). */
 constexpr Duration kUnusedConnectionKept = std::chrono::milliseconds(100);
 
 }  // namespace
--- a/src/pooling/ServerConnections.h
+++ b/src/pooling/ServerConnections.h
@@ -1,4 +1,5 @@
-/** The connections of this process to servers: opened, lent to a statement, released, closed. */
+/** Opens the connections of this process to servers, assigns them to statements, and releases and
+ * closes them. */
 #pragma once
 
 #include <cstdint>
@@ -93,15 +94,15 @@
      */
     void noteOpenFailed(ServerConnection& connection, const std::optional<StatementError>& refusal);
 
-    /** The connection's user is done with it. @param state session state that the server reported
-     * last. */
+    /** The connection's user no longer needs the connection. @param state session state that the
+     * server reported last. */
     void release(ServerConnection& connection, SessionState state);
 
-    /** The connection's user has gone; pending results are awaited and dropped. */
+    /** The user has abandoned the connection; pending results are awaited and dropped. */
     void abandon(ServerConnection& connection);
 
-    /** Ends any transaction that is open on the connection. Its user is done with it. Where nothing
-     * may be sent to its server, the connection is closed instead, and removed afterwards. */
+    /** Ends any transaction that is open on the connection, whose user no longer needs it. Where
+     * nothing may be sent to the server, the connection is closed instead and removed later. */
     void rollBack(ServerConnection& connection);
 
     /** A statement of the connection's transaction was answered; the transaction continues without
--- a/src/pooling/ServerDirectory.cpp
+++ b/src/pooling/ServerDirectory.cpp
@@ -9,8 +9,8 @@
 namespace coralhoist::pooling {
 namespace {
 
-/** Servers write their entries again within this time after the store came back in an older state.
- */
+/** Servers write their entries again within this time after the store has reverted to an older
+ * state. */
 constexpr Duration kWrittenAgainWithin = std::chrono::seconds(2);
 
 /** @return whether the entry is older than the known one, although the store returned it later. */
@@ -78,8 +78,8 @@
 
 bool ServerDirectory::put(const ServerAnnouncement& announcement, TimePoint now) {
     if (isForeign(announcement)) {
-        // The entry names no server; no server is listed under its id until the server's own next
-        // entry.
+        // The entry does not state which incarnation it describes, so no incarnation is listed
+        // under the id until the server itself writes its next entry.
         return remove(announcement.address.server, announcement.version, now);
     }
     const ServerAddress& address = announcement.address;
@@ -87,7 +87,8 @@
     ListedServer& listed = _groups[address.group][address.server];
     if (listed.superseded || announcement.version < listed.announcement.version ||
         !supersede(announcement, now)) {
-        // A name that was not listed before stays unlisted.
+        // An entry that was created by this call has no version; it is marked as removed, so that
+        // an incarnation that was not listed before stays unlisted.
         listed.removed = listed.removed || !listed.announcement.version.exists();
         return false;
     }
--- a/src/pooling/ServerIncarnation.h
+++ b/src/pooling/ServerIncarnation.h
@@ -25,7 +25,7 @@
 /** @return whether the name contains a start time. */
 bool hasStartTime(const ServerName& server);
 
-/** @return the id by which the server itself and the platform know it. */
+/** @return the id of the server, which the server itself and the platform use. */
 std::string idOf(const ServerName& server);
 
 }  // namespace coralhoist::pooling
--- a/src/pooling/StatementPooler.cpp
+++ b/src/pooling/StatementPooler.cpp
@@ -134,8 +134,8 @@
 }
 
 /**
- * A proof holds for each group whose record it shows as the newest known one, whenever it is
- * applied.
+ * Confirms the group's primary by the newest proof. The proof is valid for a group if it contains
+ * the newest known version of the group's record, at whatever time it is applied.
  */
 void StatementPooler::takeNewestProof(GroupState& group) {
     if (group.proofTaken != _lastProof) {
@@ -302,7 +302,8 @@
     }
 }
 
-/** Callers may submit their next statement from within a reply. */
+/** Sends the pending replies. The list of replies is moved away first, because callers may submit
+ * their next statement from within a reply. */
 void StatementPooler::flushReplies() {
     std::vector<PendingReply> replies;
     replies.swap(_replies);
--- a/src/pooling/StatementPooler.h
+++ b/src/pooling/StatementPooler.h
@@ -77,7 +77,8 @@
 
 /**
  * The pooler of one process. Single-threaded; no method blocks.
- * | Invariants: each submit gets exactly one reply; a statement runs only on a connection with
+ *
+ * Invariants: each submit gets exactly one reply; a statement runs only on a connection with
  * exactly the session's values; a transaction keeps one connection from its first statement to its
  * end; a write or COMMIT is sent at most once; a refusal that promises "not run" is given only
  * before a write was sent or after the server itself reported it.
@@ -548,7 +549,7 @@
     const locality::PlaceDistances* _distances = nullptr;
     UnitForwarder* _forwarder = nullptr;
     LoadReporter* _loadReporter = nullptr;
-    /** Null: units may be sent everywhere. */
+    /** Null if no policy is set; units may then be sent to all servers and nodes. */
     PlacementPolicy* _policy = nullptr;
     /** The other nodes are known; before that, this node appears to be the only executor. */
     bool _nodesKnown = false;
--- a/src/tenancy/QuotaCalls.h
+++ b/src/tenancy/QuotaCalls.h
@@ -11,14 +11,14 @@
 namespace coralhoist::tenancy {
 
 /**
- * Each callback is called once and asynchronously; it gets no response if the connection is lost.
+ * Each callback is called once and asynchronously. Its argument is empty if the connection is lost.
  */
 class QuotaCalls {
 public:
     using AnswerCallback = std::function<void(const std::optional<QuotaResponse>&)>;
     using AckCallback = std::function<void(const std::optional<LedgerAck>&)>;
 
-    /** @param questions must outlive this object. */
+    /** @param questions sender of the requests; must outlive this object. */
     explicit QuotaCalls(QuotaRequestSender& questions) : _questions(questions) {}
 
     bool canReach(const NodeName& node) const { return _questions.canReach(node); }
--- a/src/tenancy/QuotaExchange.cpp
+++ b/src/tenancy/QuotaExchange.cpp
@@ -392,7 +392,8 @@
     return plan;
 }
 
-/** @return what a statement that finds no unit may wait for. */
+/** @return the decision for a statement that finds no unit: to wait for a response, to wait for its
+ * turn, or a refusal. */
 QuotaDecision QuotaExchange::decisionWithoutUnit(const RankAccount& account, TimePoint now) {
     if (account.pending && now - *account.unansweredSince < kResponseTimeout) {
         return {QuotaDecision::Kind::Waiting, *account.unansweredSince + kResponseTimeout - now};
@@ -438,7 +439,7 @@
 
 /**
  * Requests the missing units.
- * @return what a statement that finds no unit may wait for.
+ * @return the decision for a statement that finds no unit.
  */
 QuotaDecision QuotaExchange::lookFor(const TenantName& tenant, const QueuedStatements& waiting,
                                      TimePoint usedAt, TimePoint now) {
--- a/src/tenancy/QuotaExchange.h
+++ b/src/tenancy/QuotaExchange.h
@@ -34,7 +34,8 @@
     const StoreEra& era;
     NodeIncarnation self;
     ZoneName zone;
-    /** Called when units of a tenant have arrived, or when it is known that none will. */
+    /** Called when units of a tenant have arrived, or when it is known that no units will arrive.
+     */
     std::function<void(const TenantName&)> onChange;
 };
 
@@ -153,7 +154,7 @@
         TimePoint lastAskedAt{};
         /** No units are available: the leader is not asked again before this time. */
         TimePoint notBefore{};
-        /** The same for units that can be used only immediately. */
+        /** Units that can be used only immediately are not requested before this time. */
         TimePoint immediateNotBefore{};
         /** Time at which a refused caller should retry. */
         TimePoint retryAt{};
--- a/src/tenancy/QuotaShard.h
+++ b/src/tenancy/QuotaShard.h
@@ -97,11 +97,11 @@
 
     ShardContext _context;
     std::unique_ptr<ShardLeader> _leader;
-    /** Kept after its withdrawal until no unit that it granted counts any more. */
+    /** A withdrawn deputy is kept until no unit that it granted counts any more. */
     std::unique_ptr<ShardLeader> _deputy;
     /** Since when the leader has been unreachable. */
     std::optional<TimePoint> _cutOffSince;
-    /** Time of the deputy's next check whether it is still needed. */
+    /** Time of the next check whether the deputy is still needed. */
     TimePoint _deputyDueAt{};
     /** Time of the deputy's last probe of the leader. */
     TimePoint _leaderProbedAt{};
--- a/src/tenancy/QuotaShardDeputy.cpp
+++ b/src/tenancy/QuotaShardDeputy.cpp
@@ -12,8 +12,9 @@
 /** Time for which leader and standby have to be unreachable before this node may be a deputy.
  * Reconnecting takes less time, and queued statements still get a response in time. */
 constexpr Duration kCutOffDelay = milliseconds(100);
-/** The same time while the standby appears reachable but has not responded either. A standby takes
- * over within this time if the leader has failed. */
+/** Time for which the leader has to be unreachable before this node may be a deputy, if the standby
+ * appears reachable but has not responded either. A standby takes over within this time if the
+ * leader has failed. */
 constexpr Duration kStandbySilence = milliseconds(300);
 /** Interval at which a deputy checks whether the leader is reachable. */
 constexpr Duration kLeaderProbeInterval = milliseconds(200);
@@ -133,7 +134,7 @@
         .field("leader", _known->record().leader.node)
         .field("version", _known->record().version);
     if (_deputy) {
-        // Units that it granted before continue to count.
+        // Units that the deputy granted before its withdrawal continue to count.
         _deputy->resume();
     } else {
         _deputy = std::make_unique<ShardLeader>(_context, _known->parts);
--- a/src/tenancy/RecordAllowances.cpp
+++ b/src/tenancy/RecordAllowances.cpp
@@ -16,8 +16,9 @@
 /** Allowance in windows for quotas with a short window. With a smaller value, the allowance of each
  * renewal would last for a fraction of a second only. */
 constexpr std::uint32_t kShortWindowsAllowed = 5;
-/** Share of the counted units that the leader leaves free for a deputy's allowance, as far as the
- * leader's own smallest allowance permits. These units last until the leader knows of the deputy.
+/** Units of the bound that the leader leaves free for a deputy's allowance, as a share of the
+ * leader's counted units and as far as the leader's own smallest allowance permits. A deputy can
+ * use these units until the leader knows of the deputy.
  */
 constexpr double kRoomForDeputy = 0.25;
 /** Smallest share of the bound that each of two partitions may have while both receive requests. */
@@ -35,7 +36,7 @@
     left -= std::min(left, units);
 }
 
-/** @return units that a holder needs in addition to its counted units. */
+/** @return the allowance that a holder of a part needs in addition to its counted units. */
 std::uint32_t wantedBeyond(std::uint32_t counted, std::uint32_t bound) {
     const auto least = static_cast<std::uint32_t>(bound * kLeastAllowance) + 1;
     return std::max(least, static_cast<std::uint32_t>(counted * kWindowsAllowed));
--- a/src/tenancy/ShardLeader.h
+++ b/src/tenancy/ShardLeader.h
@@ -42,8 +42,8 @@
 public:
     /**
      * Creates a leader.
-     * @param parts of the record as this node wrote it, or of one of its earlier writes that is in
-     * force.
+     * @param parts the parts of the record as this node wrote it, or of one of its earlier writes
+     * that is in force.
      * @param leaseUntil end of the lease, after which the leader may not grant.
      * @param ledgers units that count already.
      */
@@ -52,8 +52,8 @@
 
     /**
      * Creates a deputy, which grants once it has written its part.
-     * @param parts of the record as it was read. A part of this incarnation of the node has to be
-     * empty.
+     * @param parts the parts of the record as it was read. A part of this incarnation of the node
+     * has to be empty.
      */
     ShardLeader(const ShardContext& context, RecordParts parts);
 
--- a/src/tenancy/ShardLeaderRecord.cpp
+++ b/src/tenancy/ShardLeaderRecord.cpp
@@ -124,7 +124,8 @@
                         });
 }
 
-/** A write of unknown outcome may have been applied, or another node may lead. */
+/** Handles a read of the record. The record may contain this node's write whose outcome was
+ * unknown, or name another leader. */
 void ShardLeader::onLoaded(const LoadedShard& loaded) {
     if (_ended || loaded.outcome != StoreOutcome::Done) {
         return;
--- a/src/tenancy/TenantDirectory.h
+++ b/src/tenancy/TenantDirectory.h
@@ -47,7 +47,7 @@
     explicit TenantDirectory(std::uint64_t version) : _version(version) {}
 
     /**
-     * @param version of the settings.
+     * @param version the version of the settings.
      * @param publicServices services whose callers need no credential.
      */
     TenantDirectory(std::uint64_t version, const std::vector<Tenant>& tenants,
--- a/src/tenancy/TenantGate.cpp
+++ b/src/tenancy/TenantGate.cpp
@@ -260,7 +260,7 @@
 }
 
 /**
- * Logs a refusal by quota, and whether the statement had no turn in time or one that was missed.
+ * Logs a refusal by quota, and whether the statement had no turn or missed its turn.
  */
 void TenantGate::logQuotaRefusal(const GatedSession& session, const Statement& statement,
                                  const StatementError& error) const {
@@ -374,7 +374,7 @@
     return turn <= session.waitingSince + _ranks.maxTurnWait[session.rank] + kAnswerMargin;
 }
 
-/** @return a statement that will not get a unit in time, if there is one. */
+/** @return a session whose queued statement will not get a unit in time, if there is one. */
 std::optional<SessionId> TenantGate::findUnservable(const Queue& queue,
                                                     const QuotaDecision& decision) const {
     for (const SessionId id : queue) {
--- a/src/tenancy/TenantGate.h
+++ b/src/tenancy/TenantGate.h
@@ -88,7 +88,8 @@
 
     void endSession(SessionId session);
 
-    /** Called when units of the tenant have arrived, or when it is known that none will. */
+    /** Called when units of the tenant have arrived, or when it is known that no units will arrive.
+     */
     void onQuotaChange(const TenantName& tenant);
 
     void onTick(TimePoint now);
--- a/src/tenancy/UnitPacer.h
+++ b/src/tenancy/UnitPacer.h
@@ -22,7 +22,7 @@
     /** Removes granted units from the bucket. */
     void take(std::uint32_t units) { _tokens -= units; }
 
-    /** Returns units that were not used to the bucket. */
+    /** Puts granted units that were not used back into the bucket. */
     void giveBack(std::uint32_t units) { _tokens += units; }
 
     /** @return the state of the bucket as of the last call of `available`. */
--- a/src/tenancy/UnitTurns.cpp
+++ b/src/tenancy/UnitTurns.cpp
@@ -125,7 +125,8 @@
     return units;
 }
 
-/** @return the number of units in the bucket that belong to others before the request gets any. */
+/** @return the number of units in the bucket that are kept for other turns and for the demand of
+ * more urgent ranks, and that the request therefore can't get. */
 double UnitTurns::ahead(const RankedRequest& request, const PacedUnits& paced, TimePoint now) {
     expire(now);
     // The due time of a turn already includes the time that the bucket needs for its reserved part.
--- a/src/warmup/ColdServers.h
+++ b/src/warmup/ColdServers.h
@@ -90,8 +90,8 @@
 private:
     struct Known {
         StoreVersion version;
-        /** The end of the cold time by the server's entry, and by a connection opened after all
-         * were lost. */
+        /** When the cold time ends: according to the server's entry, and as counted from the first
+         * connection that was opened after all connections had been lost. */
         TimePoint announcedUntil{};
         TimePoint suspectedUntil{};
         bool serves = false;
--- a/tests/admission/AdmissionPolicyTest.cpp
+++ b/tests/admission/AdmissionPolicyTest.cpp
@@ -46,7 +46,8 @@
             clock.advance(kLook);
         }
     }
-    /** The primary is missing for the span; after it nothing is blocked for as long. */
+    /** Blocks a statement on the missing primary for the span, and then blocks none for a second.
+     */
     void losePrimary(Duration span) {
         for (Duration lost(0); lost < span; lost += kLook) {
             policy.review(clock.now(), {hindered(1, std::chrono::hours(1))});
@@ -79,7 +80,8 @@
 
 TEST(AdmissionPolicy, AForecastWrongByAFactorOfTwoRefusesNobodyWhoWouldHaveBeenServed) {
     watch(milliseconds(1000), 100);
-    // From here on two statements start in the time of one.
+    // If statements now start twice as fast as observed, 50 of them start within the 250 ms.
+    // None of these may be refused.
     const std::vector<ForecastRefusal> refusals =
         policy.review(clock.now(), manyLate(100, milliseconds(250)));
     CHECK_TRUE(refusals.front().session > SessionId(50));
--- a/tests/admission/FairSharesTest.cpp
+++ b/tests/admission/FairSharesTest.cpp
@@ -40,7 +40,7 @@
     for (const std::uint64_t number : {4, 5, 6, 7}) {
         add("short", number, milliseconds(50));
     }
-    // Two short statements for each long one.
+    // Two short statements are served for each long one.
     checkOrder({4, 1, 5, 6, 2, 7, 3});
 }
 
@@ -77,7 +77,8 @@
     for (int turn = 0; turn < 20; ++turn) {
         shares.charge("other", milliseconds(50));
     }
-    // The credit is 100 ms before the virtual time of 950 ms: 850, 950, 1050 against 1000.
+    // The credit is 100 ms before the virtual time of 950 ms: the held-up flow's statements start
+    // at 850, 950 and 1050 ms, the statement of the other flow at 1000 ms.
     checkOrder({1, 2, 4, 3});
 }
 
--- a/tests/admission/OverloadTest.cpp
+++ b/tests/admission/OverloadTest.cpp
@@ -35,8 +35,9 @@
 const StatementClass kFlow{ServiceName("orders"), 0};
 
 enum class Order { AsItStands, EarliestDeadline, LastInPastOverload, FirstInFirstOut };
-/** Refused after 70% of the timeout and queued as new on a retry; held until the last moment at
- * which an answer is in time; refused by forecast. */
+/** When statements are refused. FixedShare: after 70% of the timeout; a retry is queued as a new
+ * statement. HeldToTheEnd: at the last moment at which an answer is in time. Forecast: by forecast.
+ */
 enum class Admission { FixedShare, HeldToTheEnd, Forecast };
 
 struct Caller {
--- a/tests/admission/TurnsUnderLoadTest.cpp
+++ b/tests/admission/TurnsUnderLoadTest.cpp
@@ -110,8 +110,8 @@
 
 TEST(TurnsUnderLoad, AMinimumShareIsKeptForTheLastRank) {
     const Outcomes outcomes = played(kThreeRanks, 20);
-    // At least half of the share: the second rank is queued too, and the first is not always
-    // queued.
+    // The third rank gets at least half of the minimum share, because the second rank shares it
+    // while the first one is queued, and the whole of it while the first one is not queued.
     CHECK_TRUE(outcomes.at("third").slotTime > kSlots * milliseconds(1000));
     CHECK_TRUE(outcomes.at("third").slotTime < kSlots * milliseconds(2000));
     CHECK_TRUE(outcomes.at("first").share() > kNearlyAll);
--- a/tests/contract/ExecutorTransactionTest.cpp
+++ b/tests/contract/ExecutorTransactionTest.cpp
@@ -165,7 +165,7 @@
 }
 
 TEST(ExecutorTransaction, BatchSkippedByARefusedBeginIsAnError) {
-    // Simulates a cancel request that hits the BEGIN which the proxy puts before the batch.
+    // Simulates a cancel request that cancels the BEGIN which the proxy puts before the batch.
     backend.answers["BEGIN"].kind = CommandOutcome::Kind::Failed;
     backend.answers["BEGIN"].sqlState = "57014";
     ExecutionRequest first = fixture.request("update", StatementKind::Write);
--- a/tests/contract_simulation/ContractSimulationTest.cpp
+++ b/tests/contract_simulation/ContractSimulationTest.cpp
@@ -20,8 +20,8 @@
 constexpr std::size_t kThreads = 4;
 
 /**
- * Upper bound of the median gap: longest election, discovery of the new primary and its first
- * responses.
+ * Upper bound of the median of RunReport::failoverGap. It covers the longest election, the
+ * discovery of the new primary and the first responses of that primary.
  */
 constexpr Duration kMedianGapLimit = std::chrono::milliseconds(400);
 
--- a/tests/failover/GroupFailoverTest.cpp
+++ b/tests/failover/GroupFailoverTest.cpp
@@ -114,8 +114,9 @@
 }
 
 /**
- * Guards against the same loss when the successor of the first promotion crashes before the lagging
- * replica has caught up.
+ * Guards against a promotion that loses commits of an earlier term because the successor of the
+ * first promotion, the only running server that has them, crashes before the lagging replica has
+ * caught up.
  */
 TEST(GroupFailover, WaitsForTheOnlyServerWithAllCommits) {
     FailoverFixture fixture;
--- a/tests/failover/PlannedMoveTest.cpp
+++ b/tests/failover/PlannedMoveTest.cpp
@@ -91,7 +91,8 @@
 }
 
 /**
- * The successor stops receiving while the claim is made; no server has stepped down, and none does.
+ * The successor stops receiving while the node claims the record. No server was ordered to step
+ * down before that, so the node withdraws the claim and the primary keeps leading.
  */
 TEST(PlannedMove, AClaimIsWithdrawnWhenTheSuccessorFallsBehind) {
     fixture.setLastResort(0, true);
@@ -140,8 +141,9 @@
 }
 
 /**
- * The evacuation of one zone is requested and withdrawn halfway, then the next zones follow until
- * every server is of last resort.
+ * The evacuation of a zone makes its server one of last resort. The evacuation of the first zone is
+ * cancelled while the move is in progress. Then the zones are evacuated one after another, until
+ * every server is one of last resort.
  */
 TEST(PlannedMove, RequestsInSeriesMoveThePrimaryAtOnce) {
     fixture.setLastResort(0, true);
@@ -239,8 +241,8 @@
 }
 
 /**
- * Replication needs no suitability: the former primary receives, so a commit reaches its second
- * server.
+ * A server of last resort still receives the log: the former primary becomes the replica, so each
+ * commit reaches the two servers that its acknowledgement requires.
  */
 TEST(PlannedMove, TheOnlyReplicaMayBeAServerOfLastResort) {
     fixture.group.leave(fixture.server(2));
@@ -300,7 +302,7 @@
 }
 
 /**
- * The primary is gone with its log before any node can promote. Only the longest log has the
+ * The primary and its log are lost before any node can promote. Only the longest log has the
  * commits that the primary and that replica acknowledged together.
  */
 TEST(PlannedMove, AServerOfLastResortLeadsIfOnlyItHasAllCommits) {
--- a/tests/failover/ReviewTest.cpp
+++ b/tests/failover/ReviewTest.cpp
@@ -80,7 +80,10 @@
     CHECK_FALSE(fixture.server(2).primary);
 }
 
-/** The same, but the replica with all commits responds later than the response timeout. */
+/**
+ * Guards against a failed primary that is removed from the count of members while the replica with
+ * all commits is reachable but responds later than the response timeout.
+ */
 TEST(Review, ARemovedPrimaryDoesNotMakeALateReplicaIgnorable) {
     commitWithLaggingReplica();
     fixture.server(1).orderDelay = milliseconds(1600);
--- a/tests/pooling/AdmissionTest.cpp
+++ b/tests/pooling/AdmissionTest.cpp
@@ -65,7 +65,7 @@
 TEST(Admission, ARetryIsHeldForItsRemainingTime) {
     const SessionId session = submitRefusedRead();
     fixture.advance(milliseconds(10));
-    // Held until 10% beyond the timeout, less the time that a statement takes.
+    // The retry is held until 10% beyond the timeout, less the time that a statement takes.
     CHECK_TRUE(holdingTimeOf(session, "READ 1") <= milliseconds(70));
     UNSIGNED_LONGS_EQUAL(1, fixture.pooler.statistics().retriesAfterRefusal);
 }
--- a/tests/pooling/CapacitySharesTest.cpp
+++ b/tests/pooling/CapacitySharesTest.cpp
@@ -125,7 +125,8 @@
 }
 
 TEST(CapacityShares, ARankTakesOnlyWhatLowerOnesLeave) {
-    // The lowest rank fills half of the server's slots for the time of one statement.
+    // Rank 0, which is served first, fills half of the server's slots for the time of one
+    // statement.
     const std::vector<Demand> half = {{milliseconds(150)}, {Duration(0), milliseconds(1500)}};
     DOUBLES_EQUAL(4.5, bound(0, half), 1e-9);
     DOUBLES_EQUAL(4.5, bound(1, half), 1e-9);
@@ -236,7 +237,7 @@
     shares.noteSent(server, 2, clock.now());
     CHECK_TRUE(shares.admits(server, 1, clock.now()));
     CHECK_FALSE(shares.admits(server, 2, clock.now()));
-    // One wake-up is returned for the next turn, and only once.
+    // The time of the next turn is returned only once.
     const std::optional<TimePoint> wake = shares.takeTurnWake(server, clock.now());
     CHECK_TRUE(wake.has_value() && *wake > clock.now());
     CHECK_FALSE(shares.takeTurnWake(server, clock.now()).has_value());
--- a/tests/pooling/PoolerTest.cpp
+++ b/tests/pooling/PoolerTest.cpp
@@ -324,7 +324,8 @@
         write("own");
         fixture.refuse(StatementFault::Busy);
         const TimePoint refusedAt = fixture.clock.now();
-        // A statement that was not refused itself has no pause of its own.
+        // The second statement has no pause of its own, because it was not refused: only the
+        // server's pause delays it.
         write("own");
         while (fixture.pendingCount() == 0) {
             fixture.advance(milliseconds(5));
@@ -346,7 +347,8 @@
 }
 
 TEST(StatementPooler, TheInitialLimitIsAShareOfTheServersCapacity) {
-    // Three slots allow four statements in flight; with six executors each one starts with one.
+    // Three slots allow four statements in flight; with six executors each executor
+    // starts with a limit of one statement.
     std::vector<ProxyNode> nodes;
     for (const char* name : {"n1", "n2", "n3", "n4", "n5"}) {
         nodes.push_back({NodeName(name), ZoneName(name), "10.0.0.1", 7000});
--- a/tests/pooling/ReaderTreeTest.cpp
+++ b/tests/pooling/ReaderTreeTest.cpp
@@ -59,7 +59,7 @@
     return result;
 }
 
-/** @return for each node, how many nodes ask it first. */
+/** @return for each node, the number of nodes that have it as their first candidate to ask. */
 std::map<NodeName, std::size_t> askersOf(const std::vector<ProxyNode>& nodes) {
     std::map<NodeName, std::size_t> askers;
     for (const ProxyNode& node : nodes) {
--- a/tests/pooling/SharedServersTest.cpp
+++ b/tests/pooling/SharedServersTest.cpp
@@ -431,7 +431,7 @@
     play(milliseconds(1000));
     print("zone emptied");
     CHECK_TRUE(refusedPart() < 0.01);
-    // The full capacity of the slots, 300 statements a second.
+    // The full capacity of the slots is 300 statements a second.
     CHECK_TRUE(server.arrivals > 280);
 }
 
--- a/tests/pooling/TurnsTest.cpp
+++ b/tests/pooling/TurnsTest.cpp
@@ -79,7 +79,7 @@
     flood("second", "");
     const std::size_t sent = fixture.pendingCount();
     const SessionId session = write("third", "");
-    // One statement in five is reserved for the rank.
+    // The minimum share of 20% reserves one statement in five for the third rank.
     LONGS_EQUAL(sent + 5, repliesBefore(session));
 }
 
--- a/tests/tenancy/GatedNode.h
+++ b/tests/tenancy/GatedNode.h
@@ -37,8 +37,8 @@
 };
 
 /**
- * A gate in front of a pooler whose servers never respond. A session in a transaction has got its
- * unit.
+ * A gate in front of a pooler whose servers never respond. A session is in a transaction once
+ * its first statement has taken a unit.
  */
 class GatedNode final : public pooling::PoolerOutput {
 public:
@@ -48,7 +48,7 @@
 
     /** Sends a request to the rank's service; the caller retries twice, after 50 to 180 ms. */
     void ask(std::uint32_t rank);
-    /** Disconnects the caller that asked last. */
+    /** Disconnects the caller whose session was opened last. */
     void leave();
     void step(TimePoint now);
     void applyTenants(const std::shared_ptr<const TenantDirectory>& tenants);
--- a/tests/tenancy/QuotaFloodTest.cpp
+++ b/tests/tenancy/QuotaFloodTest.cpp
@@ -5,14 +5,14 @@
  *
  * Under low load, many nodes request units in advance and do not use all of them within their
  * lease. When the load rises, all these nodes send requests at once and return units that have been
- * unused for seconds. The accounting node's bucket has refilled since, so crediting the returned
+ * unused for seconds. The leader's token bucket has refilled since, so crediting the returned
  * units grants them a second time. Under load, responses are late as well: if a response later than
- * 60 ms is treated as a missing accounting node, the requesting node runs its own units in addition
+ * 60 ms is treated as the loss of the leader, the requesting node runs its own units in addition
  * to those granted.
  *
  * In a network with responses after 1 ms, only units that are returned late cause the fault: the
- * first test passes without their credit. With late responses, units that run without an accounting
- * node are a second cause (counted by QuotaStatistics).
+ * first test passes if the returned units are not credited. With late responses, units that run
+ * without a grant of the leader are a second cause.
  */
 #include <CppUTest/TestHarness.h>
 
--- a/tests/tenancy/QuotaNetwork.cpp
+++ b/tests/tenancy/QuotaNetwork.cpp
@@ -16,7 +16,7 @@
 constexpr Duration kLinkTimeout = milliseconds(500);
 
 /**
- * Interval at which a node lists records of other kinds, by which it learns the epoch of the store.
+ * Interval at which a node lists records of other kinds, by which it learns the era of the store.
  */
 constexpr Duration kListEvery = milliseconds(1000);
 
@@ -300,7 +300,8 @@
                 exchange->onQuotaResponse(packet.number, std::nullopt);
             }
         }
-        // A lost link is retried by a new connection.
+        // If the other node is reachable, a new connection opens after 200 ms. Otherwise the link
+        // stays closed until the node is reachable again.
         if (!_network.isConnected(_index, node)) {
             _lostUntil[node] = TimePoint::max();
         }
@@ -335,7 +336,7 @@
     std::uint64_t _lastAsker = 0;
     std::map<std::uint64_t, Packet> _unanswered;
     std::map<std::uint64_t, TimePoint> _sentAt;
-    /** Closed links, and when they are usable again. */
+    /** Closed links by the index of the other node, and when each link is usable again. */
     std::map<std::size_t, TimePoint> _lostUntil;
 };
 
--- a/tests/tenancy/QuotaNetwork.h
+++ b/tests/tenancy/QuotaNetwork.h
@@ -66,7 +66,7 @@
     void setStoreDown(bool down) { _store.faults().down = down; }
     SimulatedShardStore& store() { return _store; }
     /**
-     * Lets the store include its epoch in each response, as a store does that may be restored to an
+     * Lets the store include its era in each response, as a store does that may be restored to an
      * older state.
      */
     void showEras();
@@ -96,7 +96,8 @@
 
     /** @return the maximum number of units that ran within any window of the terms. */
     std::size_t busiestWindow() const;
-    /** @return the same for the windows that begin at or after the given time. */
+    /** @return the maximum number of units that ran within any window that begins at or after the
+     * given time. */
     std::size_t busiestWindowSince(TimePoint begin) const;
     TimePoint now() const { return _clock.now(); }
 
@@ -108,9 +109,10 @@
         std::size_t refused = 0;
     };
     NodeOutcome outcomeAt(std::size_t node) const;
-    /** @return the number of nodes that consider themselves leader of the tenant's shard. */
+    /** @return the indices of the running nodes that consider themselves leader of the tenant's
+     * shard. */
     std::vector<std::size_t> leaders() const;
-    /** @return the number of nodes that consider themselves deputies of the leader. */
+    /** @return the indices of the running nodes that consider themselves deputies of the leader. */
     std::vector<std::size_t> deputies() const;
     /** @return the summed counters of all incarnations of all nodes. */
     QuotaStatistics statistics() const;
--- a/tests/tenancy/TenantGateTest.cpp
+++ b/tests/tenancy/TenantGateTest.cpp
@@ -99,8 +99,8 @@
         gate.submit(session, statement);
     }
     /**
-     * Defines services of two ranks, with objectives of 200 and 1,000 ms; another node is the
-     * accounting node.
+     * Defines services of two ranks, with objectives of 200 and 1,000 ms; another node leads
+     * the tenant's shard.
      */
     void defineRanks() {
         auto catalog = std::make_shared<pooling::ServiceCatalog>();
@@ -151,7 +151,7 @@
         }
         quotas.applyNodes(nodes);
     }
-    /** Begins a transaction of a tenant for which another node is the accounting node. */
+    /** Begins a transaction of a tenant whose shard another node leads. */
     void beginWithAccountingNode() {
         listAccountingNodes();
         submit(open("key-a"), StatementVerb::Begin);
@@ -382,7 +382,8 @@
     CHECK_TRUE(replies.size() >= 5);
     UNSIGNED_LONGS_EQUAL(0, ran());
     CHECK_TRUE(pooler.stateOfSession(first) == SessionState::Idle);
-    // The gate may send a request again, so the statement waits for no response.
+    // The session accepts another statement, because its refused statement no longer waits for a
+    // response.
     const std::size_t before = replies.size();
     submit(first, StatementVerb::Rollback);
     UNSIGNED_LONGS_EQUAL(before + 1, replies.size());
